--- a/crates/bench/src/capacity/mod.rs
+++ b/crates/bench/src/capacity/mod.rs
@@ -62,7 +62,7 @@
                 waiting.to_string(),
                 format!("{:.0}", cost.start_us()),
                 table::two(cost.cpu.as_secs_f64() / seconds),
-                table::two(cost.per_start(cost.looks)),
+                table::two(cost.per_start(cost.heartbeats)),
                 table::two(cost.per_start(cost.sought)),
                 format!("{:.0}", cost.txns as f64 / seconds),
                 format!("{:.0}", cost.per_start(cost.txn_bytes)),
--- a/crates/bench/src/capacity/routes.rs
+++ b/crates/bench/src/capacity/routes.rs
@@ -54,7 +54,7 @@
 /// Returns the bytes of one endpoint in a digest.
 #[must_use]
 pub fn digest_bytes() -> usize {
-    let seen = digest::Seen {
+    let seen = digest::EndpointStats {
         task: endpoint(1_234).task,
         in_flight: 3,
         answers: 120,
--- a/crates/bench/src/fleet/mix.rs
+++ b/crates/bench/src/fleet/mix.rs
@@ -65,9 +65,12 @@
 /// Returns a worker, 20 to a rack.
 pub(super) fn member(at: usize) -> job::Member {
     job::Member {
-        life: format!("i-{:010x}", (at as u64).wrapping_mul(0x9e37_79b9_7f4a) & 0xff_ffff_ffff)
-            .as_str()
-            .into(),
+        incarnation: format!(
+            "i-{:010x}",
+            (at as u64).wrapping_mul(0x9e37_79b9_7f4a) & 0xff_ffff_ffff
+        )
+        .as_str()
+        .into(),
         addr: ([127, 0, 0, 1], 1).into(),
         hall: "hall".into(),
         service: "service".into(),
--- a/crates/bench/src/fleet/mod.rs
+++ b/crates/bench/src/fleet/mod.rs
@@ -48,7 +48,7 @@
     /// Starts that it ordered.
     pub starts: u64,
     /// Looks that it asked for.
-    pub looks: u64,
+    pub heartbeats: u64,
     /// Ends that it heard.
     pub ends: u64,
     /// Transactions.
@@ -86,7 +86,7 @@
     /// The number of ends.
     ends: u64,
     /// The look that waits for its answer, by number.
-    look: Option<(u64, job::Look)>,
+    heartbeat: Option<(u64, job::Heartbeat)>,
 }
 
 /// A fleet under one engine.
@@ -103,7 +103,7 @@
     /// The workers.
     workers: Vec<Worker>,
     /// The numbers of workers.
-    names: collections::HashMap<id::Life, usize>,
+    names: collections::HashMap<id::Incarnation, usize>,
     /// The tasks and the steps that they belong to.
     steps: collections::HashMap<job::JobId, Vec<job::Step>>,
     /// Jobs handed in.
@@ -132,7 +132,7 @@
         cpu: after.cpu - before.cpu,
         events: after.events - before.events,
         starts: after.starts - before.starts,
-        looks: after.looks - before.looks,
+        heartbeats: after.heartbeats - before.heartbeats,
         ends: after.ends - before.ends,
         txns: after.txns - before.txns,
         txn_bytes: after.txn_bytes - before.txn_bytes,
@@ -159,7 +159,7 @@
     fn new(workers: usize) -> Self {
         let engine = job::Engine::new("host".into(), world::settings(), 1);
         let members: Vec<job::Member> = (0..workers).map(mix::member).collect();
-        let names = members.iter().enumerate().map(|(at, member)| (member.life.clone(), at));
+        let names = members.iter().enumerate().map(|(at, member)| (member.incarnation.clone(), at));
         let mut fleet = Self {
             engine,
             now: time::Duration::from_secs(1),
@@ -183,7 +183,7 @@
 
     /// Returns how often a worker was sought.
     fn sought(&self) -> u64 {
-        self.engine.holding().map_or(0, |holding| holding.sought())
+        self.engine.holding().map_or(0, |holding| holding.worker_searches())
     }
 
     /// Lets something arrive after a time.
@@ -231,21 +231,21 @@
                 let at = self.names[&order.worker];
                 self.send(TRIP, Arrival::End(at, order.task, order.run));
             }
-            job::Effect::Look(look) => self.look(look),
+            job::Effect::SendHeartbeat(heartbeat) => self.handle_heartbeat(heartbeat),
             _ => {}
         }
     }
 
     /// Lets a worker be looked at: at once where an end is there, else when one comes or the wait is over.
-    fn look(&mut self, look: job::Look) {
-        self.cost.looks += 1;
-        let at = self.names[&look.worker];
+    fn handle_heartbeat(&mut self, heartbeat: job::Heartbeat) {
+        self.cost.heartbeats += 1;
+        let at = self.names[&heartbeat.worker];
         let worker = &mut self.workers[at];
-        worker.ended.retain(|ended| ended.number > look.seen);
-        let wait = if worker.ended.is_empty() { look.wait } else { time::Duration::ZERO };
+        worker.ended.retain(|ended| ended.number > heartbeat.seen);
+        let wait = if worker.ended.is_empty() { heartbeat.wait } else { time::Duration::ZERO };
         self.number += 1;
         let number = self.number;
-        self.workers[at].look = Some((number, look));
+        self.workers[at].heartbeat = Some((number, heartbeat));
         self.send(TRIP + wait, Arrival::Answer(at, number));
     }
 
@@ -295,7 +295,7 @@
         worker.ends += 1;
         let (number, kind, checkpoint) = (worker.ends, job::EndKind::Done, String::new());
         worker.ended.push(job::Ended { number, task, run, kind, checkpoint });
-        if let Some((number, _)) = worker.look {
+        if let Some((number, _)) = worker.heartbeat {
             self.send(TRIP, Arrival::Answer(at, number));
         }
     }
@@ -303,7 +303,8 @@
     /// Answers a look with both lists.
     fn answer(&mut self, at: usize, number: u64) {
         let worker = &mut self.workers[at];
-        let Some((_, look)) = worker.look.take_if(|look| look.0 == number) else {
+        let Some((_, heartbeat)) = worker.heartbeat.take_if(|heartbeat| heartbeat.0 == number)
+        else {
             return;
         };
         let filled = worker.running.len() as f64;
@@ -318,8 +319,13 @@
         let ended = worker.ended.clone();
         self.cost.ends += ended.len() as u64;
         let clock_ms = u64::try_from(self.now.as_millis()).unwrap_or(0);
-        let answer = job::LookAnswer::Lists(job::Lists { born_ms: None, clock_ms, running, ended });
-        self.take(job::Event::Looked { worker: look.worker, epoch: look.epoch, answer });
+        let answer =
+            job::HeartbeatAnswer::Lists(job::Lists { born_ms: None, clock_ms, running, ended });
+        self.take(job::Event::HeartbeatAnswered {
+            worker: heartbeat.worker,
+            epoch: heartbeat.epoch,
+            answer,
+        });
     }
 
     /// Hands in a job.
--- a/crates/bench/src/hall.rs
+++ b/crates/bench/src/hall.rs
@@ -134,7 +134,7 @@
     pub fn apply(&mut self, text: &str) {
         let mut desired = desired::parse(text).expect("the bench's own text");
         let revision = self.current.revision + 1;
-        desired::succeed(&self.current.desired, &mut desired, revision)
+        desired::check_update(&self.current.desired, &mut desired, revision)
             .expect("the bench's own text");
         self.current = sync::Arc::new(hall::Current { revision, desired });
         self.step(hall::Event::Config(sync::Arc::clone(&self.current)));
--- a/crates/bench/src/harm.rs
+++ b/crates/bench/src/harm.rs
@@ -4,7 +4,7 @@
 use std::time;
 
 use serde::Deserialize;
-use wharflane::{digest, hall, id, interfere, place, size, task_table};
+use wharflane::{digest, hall, id, interference, placement, size, task_table};
 use wharflane_stand_in::{history, world};
 
 use crate::table;
@@ -135,16 +135,16 @@
 /// Returns the times and weights of a policy.
 fn settings(policy: Policy) -> hall::Settings {
     let mut settings = hall::Settings::default();
-    let first_fit = place::Weights { unused: 0.0, harm: 0.0, spread: 0.5 };
+    let first_fit = placement::Weights { unused: 0.0, harm: 0.0, spread: 0.5 };
     match policy {
         Policy::FirstFit => {
             settings.weights = first_fit;
-            settings.patience.misses = u32::MAX;
-            settings.patience.steps = &[];
+            settings.throttle_policy.misses = u32::MAX;
+            settings.throttle_policy.steps = &[];
         }
         Policy::EvictAtOnce => {
             settings.weights = first_fit;
-            settings.patience = interfere::Patience {
+            settings.throttle_policy = interference::ThrottlePolicy {
                 misses: 1,
                 settle: time::Duration::ZERO,
                 calm: 20,
@@ -183,8 +183,8 @@
 }
 
 /// Returns the harm of each pair as it truly is.
-fn true_harms(site: &Site) -> interfere::Harms {
-    let mut harms = interfere::Harms::default();
+fn true_harms(site: &Site) -> interference::Model {
+    let mut harms = interference::Model::default();
     for (job, harm) in site.harms.iter().enumerate() {
         harms.set("service", &format!("job-{job}"), harm * ALONE, 1.0 - ALONE);
     }
@@ -205,7 +205,7 @@
             row.over += 1;
             row.missed += ratio - 1.0;
             let p95_us = (ratio * TARGET_MS as f64 * 1_000.0) as u64;
-            endpoints.push(digest::Seen {
+            endpoints.push(digest::EndpointStats {
                 task: service,
                 in_flight: 1,
                 answers: 100,
--- a/crates/bench/src/queueing/hosts.rs
+++ b/crates/bench/src/queueing/hosts.rs
@@ -3,7 +3,7 @@
 use std::time;
 
 use rand::RngExt as _;
-use wharflane::{limit, outcome, retry, route};
+use wharflane::{outcome, queue, retry, route};
 
 use crate::load;
 use crate::queueing::{Back, Choice, Event, Request, Setup, Sharing, Sim, WAY, Waiting};
@@ -20,7 +20,7 @@
     /// The most requests that it may have under way at each.
     pub(super) caps: Vec<u32>,
     /// Its queue.
-    pub(super) queue: limit::Queue<usize>,
+    pub(super) queue: queue::Queue<usize>,
     /// Its retry budget.
     pub(super) budget: retry::Budget,
     /// Requests in the last second.
@@ -37,7 +37,7 @@
         Self {
             health: vec![route::Health::default(); setup.endpoints],
             caps: vec![0; setup.endpoints],
-            queue: limit::Queue::new(queue),
+            queue: queue::Queue::new(queue),
             budget: retry::Budget::new(100, 20),
             demand: 0,
         }
@@ -62,9 +62,9 @@
         };
         let priority = if self.setup.waiting == Waiting::Bounded { priority } else { 0 };
         match self.hosts[host].queue.push(priority, start_by, self.now, first, request) {
-            limit::Admission::Queued => {}
-            limit::Admission::Refused(_) => self.refuse(request),
-            limit::Admission::Displaced(other, _) => self.refuse(other),
+            queue::Admission::Queued => {}
+            queue::Admission::Refused(_) => self.refuse(request),
+            queue::Admission::Displaced(other, _) => self.refuse(other),
         }
     }
 
@@ -86,7 +86,7 @@
             }
             Choice::TwoChoices => {
                 let windowed = self.setup.sharing == Sharing::Window;
-                let cost = |at: usize| match route::offer(&health[at], caps[at], now) {
+                let cost = |at: usize| match route::request_cost(&health[at], caps[at], now) {
                     None if !windowed => open(at).then(|| health[at].cost()),
                     offer => offer,
                 };
@@ -151,9 +151,9 @@
         self.requests[request].tries.note(failure);
         let tries = self.requests[request].tries;
         let allowed = tries.made() < self.setup.tries;
-        if allowed && (!self.setup.budget || self.hosts[host].budget.take()) {
+        if allowed && (!self.setup.budget || self.hosts[host].budget.try_withdraw()) {
             self.enter(request);
-        } else if tries.open == 0 {
+        } else if tries.may_have_run == 0 {
             self.refuse(request);
         } else {
             self.outcome.failed += 1;
@@ -163,7 +163,10 @@
     /// Returns whether a host may leave one more endpoint.
     fn may_eject(&self, host: usize) -> bool {
         let health = &self.hosts[host].health;
-        let left = health.iter().filter(|h| h.usable(self.now) == route::Use::Ejected).count();
+        let left = health
+            .iter()
+            .filter(|h| h.availability(self.now) == route::Availability::Ejected)
+            .count();
         route::may_eject(left, health.len(), 30)
     }
 
--- a/crates/bench/src/queueing/mod.rs
+++ b/crates/bench/src/queueing/mod.rs
@@ -63,7 +63,7 @@
     /// Whether it paid for priority.
     paid: bool,
     /// Its tries.
-    tries: outcome::Tries,
+    tries: outcome::Attempts,
 }
 
 /// What happens at a moment.
@@ -138,12 +138,12 @@
         let paid = self.rng.random::<f64>() < setup.paid_share;
         let gap = -self.rng.random::<f64>().max(1e-12).ln() / setup.rate;
         self.at(self.now + time::Duration::from_secs_f64(gap), Event::Arrive);
-        let (came, tries) = (self.now, outcome::Tries::default());
+        let (came, tries) = (self.now, outcome::Attempts::default());
         self.requests.push(Request { host, came, paid, tries });
         self.outcome.asked += 1;
         self.outcome.paid += u64::from(paid);
         self.hosts[host].demand += 1;
-        self.hosts[host].budget.first();
+        self.hosts[host].budget.record_first_attempt();
         self.enter(self.requests.len() - 1);
     }
 
--- a/crates/bench/tests/decisions.rs
+++ b/crates/bench/tests/decisions.rs
@@ -56,7 +56,7 @@
             assert!(cost.starts > 50, "{cost:?}");
             // Steps have 9 to 39 tasks, and each step weighs all workers once.
             assert!(cost.per_start(cost.sought) < 0.15, "{cost:?}");
-            assert!(cost.per_start(cost.looks) < 1.6, "{cost:?}");
+            assert!(cost.per_start(cost.heartbeats) < 1.6, "{cost:?}");
             assert!(cost.per_start(cost.txn_bytes) < 120.0, "{cost:?}");
         }
     },
--- a/crates/caller/src/job.rs
+++ b/crates/caller/src/job.rs
@@ -33,7 +33,7 @@
 /// What a caller is told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Told {
+pub enum JobReply {
     /// The job is kept and will run.
     Accepted,
     /// The job is cancelled.
@@ -99,10 +99,10 @@
 #[must_use]
 pub fn write(answer: &job::Answer) -> reply::Reply {
     let told = match answer {
-        job::Answer::Accepted => Told::Accepted,
-        job::Answer::Cancelled => Told::Cancelled,
-        job::Answer::State(phase) => Told::State(*phase),
-        job::Answer::Waiting(count) => Told::Waiting(*count),
+        job::Answer::Accepted => JobReply::Accepted,
+        job::Answer::Cancelled => JobReply::Cancelled,
+        job::Answer::State(phase) => JobReply::State(*phase),
+        job::Answer::Waiting(count) => JobReply::Waiting(*count),
         _ => return problem(answer),
     };
     reply::json(StatusCode::OK, &told)
@@ -184,7 +184,7 @@
         queue: &str,
         id: job::JobId,
         submission: &Submission,
-    ) -> Result<Told, JobError> {
+    ) -> Result<JobReply, JobError> {
         let body = serde_json::to_vec(submission).map_err(client::CallError::from)?;
         self.call(Method::POST, &format!("{queue}/{id}"), Bytes::from(body)).await
     }
@@ -193,7 +193,7 @@
     ///
     /// # Errors
     /// Returns `JobError` where that is not known, or there is no such job.
-    pub async fn state(&self, queue: &str, id: job::JobId) -> Result<Told, JobError> {
+    pub async fn state(&self, queue: &str, id: job::JobId) -> Result<JobReply, JobError> {
         self.call(Method::GET, &format!("{queue}/{id}"), Bytes::new()).await
     }
 
@@ -201,7 +201,7 @@
     ///
     /// # Errors
     /// Returns `JobError` where the job was not cancelled for sure.
-    pub async fn cancel(&self, queue: &str, id: job::JobId) -> Result<Told, JobError> {
+    pub async fn cancel(&self, queue: &str, id: job::JobId) -> Result<JobReply, JobError> {
         self.call(Method::DELETE, &format!("{queue}/{id}"), Bytes::new()).await
     }
 
@@ -209,12 +209,12 @@
     ///
     /// # Errors
     /// Returns `JobError` where that is not known, or there is no such queue.
-    pub async fn waiting(&self, queue: &str) -> Result<Told, JobError> {
+    pub async fn waiting(&self, queue: &str) -> Result<JobReply, JobError> {
         self.call(Method::GET, queue, Bytes::new()).await
     }
 
     /// Makes one call.
-    async fn call(&self, method: Method, path: &str, body: Bytes) -> Result<Told, JobError> {
+    async fn call(&self, method: Method, path: &str, body: Bytes) -> Result<JobReply, JobError> {
         let request = hyper::Request::builder()
             .method(method)
             .uri(format!("{}{path}", self.root))
--- a/crates/caller/src/reply.rs
+++ b/crates/caller/src/reply.rs
@@ -14,7 +14,7 @@
 
 /// Why a request ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum GaveUp {
+pub enum RequestError {
     /// The request can't be understood.
     #[error("the request can't be understood")]
     BadRequest,
@@ -50,7 +50,7 @@
     Stopping,
 }
 
-impl GaveUp {
+impl RequestError {
     /// Returns the label of the reason in metrics and problem types.
     #[must_use]
     pub fn label(self) -> &'static str {
@@ -88,8 +88,8 @@
 
 /// Returns the final answer to a request that is given up.
 #[must_use]
-pub fn gave_up(
-    why: GaveUp,
+pub fn error_reply(
+    why: RequestError,
     outcome: outcome::Outcome,
     request_id: &str,
     retry_after: time::Duration,
@@ -101,12 +101,16 @@
     if may_return {
         headers.insert(header::RETRY_AFTER, header::HeaderValue::from(secs as u64));
     }
-    mark(headers, outcome, request_id);
+    set_outcome_headers(headers, outcome, request_id);
     answer
 }
 
 /// Writes the outcome and the name of the request into an answer.
-pub fn mark(headers: &mut header::HeaderMap, outcome: outcome::Outcome, request_id: &str) {
+pub fn set_outcome_headers(
+    headers: &mut header::HeaderMap,
+    outcome: outcome::Outcome,
+    request_id: &str,
+) {
     headers.insert(OUTCOME, header::HeaderValue::from_static(outcome.label()));
     if let Ok(value) = header::HeaderValue::from_str(request_id) {
         headers.insert(crate::request::REQUEST_ID, value);
--- a/crates/cli/tests/processes/closed_halls.rs
+++ b/crates/cli/tests/processes/closed_halls.rs
@@ -56,7 +56,7 @@
     tokio::time::sleep(WATCHED).await;
     assert_eq!(starts(&service), 0);
     let told = service.jobs(1).waiting(server::QUEUE).await.expect("a count");
-    assert_eq!(told, caller::Told::Waiting(1));
+    assert_eq!(told, caller::JobReply::Waiting(1));
     order(&service, false).await;
     service.until(0, id, job::Phase::Completed).await;
     order(&service, false).await;
--- a/crates/cli/tests/processes/jobs.rs
+++ b/crates/cli/tests/processes/jobs.rs
@@ -110,7 +110,7 @@
         // A caller that is told that nothing is known asks again, as it is told to.
         fleet::until("the job accepted", async || {
             match self.jobs(host).submit(server::QUEUE, id, &two_steps()).await {
-                Ok(told) => told == caller::Told::Accepted,
+                Ok(told) => told == caller::JobReply::Accepted,
                 Err(caller::JobError::Refused { status: 504, .. }) => false,
                 Err(err) => panic!("{err}"),
             }
@@ -136,7 +136,7 @@
         let jobs = self.jobs(host);
         fleet::until("the phase", async || {
             let told = jobs.state(server::QUEUE, id).await;
-            matches!(told, Ok(caller::Told::State(found)) if found == phase)
+            matches!(told, Ok(caller::JobReply::State(found)) if found == phase)
         })
         .await;
     }
@@ -168,12 +168,12 @@
         service.until(1, job::JobId(id), job::Phase::Completed).await;
     }
     let told = service.jobs(0).waiting(server::QUEUE).await.expect("an answer");
-    assert_eq!(told, caller::Told::Waiting(0));
+    assert_eq!(told, caller::JobReply::Waiting(0));
     service.judge(30);
 }
 
-/// Hands jobs in, restarts each worker under its id, and hands jobs in again: ends of the new lives are numbered like those
-/// of the lives before, and what they tell is news.
+/// Hands jobs in, restarts each worker under its id, and hands jobs in again: ends of the new incarnations are numbered like those
+/// of the incarnations before, and what they tell is news.
 async fn restarted_workers() {
     /// The workers of the platform.
     const WORKERS: usize = 3;
@@ -217,7 +217,7 @@
     service.platform.lock().faults.store_silent = false;
     fleet::until("the store found again", async || {
         let told = service.jobs(0).submit(server::QUEUE, job::JobId(1), &two_steps()).await;
-        matches!(told, Ok(caller::Told::Accepted))
+        matches!(told, Ok(caller::JobReply::Accepted))
     })
     .await;
 }
@@ -227,7 +227,7 @@
     let service = Service::start(1).await;
     service.platform.lock().faults.lose_every = 1;
     let told = service.jobs(0).submit(server::QUEUE, job::JobId(1), &two_steps()).await;
-    assert_eq!(told.expect("an answer"), caller::Told::Accepted);
+    assert_eq!(told.expect("an answer"), caller::JobReply::Accepted);
 }
 
 /// Kills one host after the other while jobs run.
@@ -346,14 +346,14 @@
     let id = job::JobId(3);
     service.note(id, lasting.clone());
     let told = service.jobs(0).submit(server::QUEUE, id, &lasting).await.expect("an answer");
-    assert_eq!(told, caller::Told::Accepted);
+    assert_eq!(told, caller::JobReply::Accepted);
     let running = async || {
         let state = service.platform.lock();
         state.workers.iter().map(|worker| worker.running().count()).sum::<usize>()
     };
     fleet::until("three at work", async || running().await == 3).await;
     let told = service.jobs(1).cancel(server::QUEUE, id).await.expect("an answer");
-    assert_eq!(told, caller::Told::Cancelled);
+    assert_eq!(told, caller::JobReply::Cancelled);
     fleet::until("none at work", async || running().await == 0).await;
     service.until(0, id, job::Phase::Cancelled).await;
     service.judge(3);
@@ -375,14 +375,14 @@
     let id = service.submit(1, 9).await;
     tokio::time::sleep(2 * COUNT_AGE).await;
     let told = service.jobs(1).waiting(server::QUEUE).await;
-    let known = matches!(&told, Ok(caller::Told::Waiting(1)));
+    let known = matches!(&told, Ok(caller::JobReply::Waiting(1)));
     let not_known = matches!(&told, Err(caller::JobError::Refused { status: 503, .. }));
     assert!(known || not_known, "{told:?}");
     service.hosts[0].0.signal("-CONT");
     service.until(1, id, job::Phase::Completed).await;
     let jobs = service.jobs(1);
     fleet::until("a count", async || {
-        matches!(jobs.waiting(server::QUEUE).await, Ok(caller::Told::Waiting(0)))
+        matches!(jobs.waiting(server::QUEUE).await, Ok(caller::JobReply::Waiting(0)))
     })
     .await;
     service.judge(5);
--- a/crates/cli/tests/processes/silence.rs
+++ b/crates/cli/tests/processes/silence.rs
@@ -84,7 +84,7 @@
         self.platform.lock().judge.jobs.insert(id, job);
         fleet::until("the job accepted", async || {
             let told = self.jobs().submit(server::QUEUE, id, submission).await;
-            matches!(told, Ok(caller::Told::Accepted))
+            matches!(told, Ok(caller::JobReply::Accepted))
         })
         .await;
     }
@@ -93,7 +93,7 @@
     async fn until(&self, id: job::JobId, phase: job::Phase) {
         fleet::until("the phase", async || {
             let told = self.jobs().state(server::QUEUE, id).await;
-            matches!(told, Ok(caller::Told::State(found)) if found == phase)
+            matches!(told, Ok(caller::JobReply::State(found)) if found == phase)
         })
         .await;
     }
@@ -159,7 +159,7 @@
     host.proxy.silence();
     fleet::until("the job cancelled", async || {
         let told = host.jobs().cancel(server::QUEUE, job::JobId(2)).await;
-        matches!(told, Ok(caller::Told::Cancelled))
+        matches!(told, Ok(caller::JobReply::Cancelled))
     })
     .await;
     host.hand_in(job::JobId(3), &submission(false)).await;
--- a/crates/daemon/src/control/config.rs
+++ b/crates/daemon/src/control/config.rs
@@ -195,7 +195,7 @@
         return operator::Applied::Unknown;
     };
     let revision = head.revision + 1;
-    let born = match desired::succeed(&old, &mut after, revision) {
+    let born = match desired::check_update(&old, &mut after, revision) {
         Ok(born) => born,
         Err(faults) => return operator::Applied::Refused { faults },
     };
--- a/crates/daemon/src/control/gossip.rs
+++ b/crates/daemon/src/control/gossip.rs
@@ -25,7 +25,7 @@
     /// A hall is held by another host now, or by this one.
     Holder(id::HallId, Option<id::HostId>),
     /// A peer said which revision it has.
-    Heard(id::HostId, Option<peer::Heard>),
+    Heard(id::HostId, Option<peer::GossipReply>),
     /// A connection to a peer stands.
     Connected(id::HostId, peer::Link),
     /// A connection to a peer that was kept from an earlier message gave no answer.
@@ -213,7 +213,7 @@
     fn heard(
         &mut self,
         host: &id::HostId,
-        heard: Option<peer::Heard>,
+        heard: Option<peer::GossipReply>,
     ) -> Result<(), ractor::ActorProcessingErr> {
         let Some(peer_state) = self.peers.get_mut(host) else {
             return Ok(());
--- a/crates/daemon/src/control/hall.rs
+++ b/crates/daemon/src/control/hall.rs
@@ -130,7 +130,7 @@
             holder: head.and_then(|head| head.holder.clone()),
             epoch: head.map_or(0, |head| head.epoch),
             held: holding.is_some(),
-            left: self.engine.left(),
+            left: self.engine.is_watching(),
             tasks: holding.map(hall::Holding::task_counts).unwrap_or_default(),
         }
     }
--- a/crates/daemon/src/host.rs
+++ b/crates/daemon/src/host.rs
@@ -78,7 +78,7 @@
     let known = sync::Arc::<sync::Mutex<root::Known>>::default();
     let link = (shared.clone(), sync::Arc::clone(&known));
     let (root, _) = Actor::spawn(None, root::Root, link).await?;
-    tokio::spawn(peer::serve(peers, peer::IDLE, answers(&root, &known)));
+    tokio::spawn(peer::serve(peers, peer::IDLE_TIMEOUT, answers(&root, &known)));
     let api =
         OperatorApi { shared: shared.clone(), root: root.clone(), drain: sync::Arc::default() };
     let drain = sync::Arc::clone(&api.drain);
@@ -218,7 +218,7 @@
 fn answers(
     root: &ractor::ActorRef<msg::Msg>,
     known: &sync::Arc<sync::Mutex<root::Known>>,
-) -> peer::Answers {
+) -> peer::Handlers {
     let root = root.clone();
     let heard = sync::Arc::clone(known);
     let asked = sync::Arc::clone(known);
@@ -226,14 +226,14 @@
         let _ = root.cast(msg::Msg::Gossip(gossip));
         let known = heard.lock().unwrap_or_else(sync::PoisonError::into_inner);
         let revision = known.config.as_ref().map_or(0, |loaded| loaded.current.revision);
-        peer::Heard { revision }
+        peer::GossipReply { revision }
     };
     let handover = move || {
         let known = asked.lock().unwrap_or_else(sync::PoisonError::into_inner);
         let config = known.config.as_ref().map(|loaded| (*loaded.stored).clone());
         peer::Handover { config, tables: known.tables.values().cloned().collect() }
     };
-    peer::Answers { gossip: sync::Arc::new(gossip), handover: sync::Arc::new(handover) }
+    peer::Handlers { gossip: sync::Arc::new(gossip), handover: sync::Arc::new(handover) }
 }
 
 /// Answers operators.
--- a/crates/daemon/src/jobs/entries.rs
+++ b/crates/daemon/src/jobs/entries.rs
@@ -26,7 +26,7 @@
     ///
     /// An entry that names no worker any more counts like one that is gone: the worker gets nothing new.
     pub fn read(&self, row: &rows::Row) -> Option<(id::WorkerId, Option<job::Member>)> {
-        if row.part != config::THEIR_PART {
+        if row.part != config::EXTERNAL_PART {
             return None;
         }
         let member = match entry::member(row) {
--- a/crates/daemon/src/jobs/halls.rs
+++ b/crates/daemon/src/jobs/halls.rs
@@ -124,7 +124,7 @@
 #[must_use]
 pub fn follow(before: &job::ClosedHalls, page: &rows::Page) -> job::ClosedHalls {
     let mut closed = job::ClosedHalls { version: page.version, halls: before.halls.clone() };
-    let named = |row: &rows::Row| Some((halls::named(row)?, row.gone));
+    let named = |row: &rows::Row| Some((halls::closed_hall(row)?, row.gone));
     for (hall, gone) in page.rows.iter().filter_map(named) {
         set(&mut closed, hall, gone);
     }
--- a/crates/daemon/src/jobs/holder.rs
+++ b/crates/daemon/src/jobs/holder.rs
@@ -58,7 +58,7 @@
     /// How late ticks are taken.
     lag: lag::Lag,
     /// Tells whether this host is slow while it holds the domain.
-    slowness: job::Slowness,
+    slowness: job::SlownessDetector,
 }
 
 /// Tells the actor of an event; one that has ended needs no news.
@@ -87,7 +87,7 @@
             entries: sync::Arc::default(),
             generation: sync::Arc::default(),
             lag: lag::Lag::default(),
-            slowness: job::Slowness::default(),
+            slowness: job::SlownessDetector::default(),
         })
     }
 
@@ -150,12 +150,12 @@
     /// Gives the domain up where this host has become too slow for it.
     fn yield_if_slow(&mut self, myself: &ractor::ActorRef<Msg>, due: time::Duration) {
         if self.engine.holding().is_none() {
-            self.slowness = job::Slowness::default();
+            self.slowness = job::SlownessDetector::default();
             return;
         }
         let now = self.shared.clock.now();
         if self.slowness.tick(now, now.saturating_sub(due)) {
-            self.slowness = job::Slowness::default();
+            self.slowness = job::SlownessDetector::default();
             self.step(myself, job::Event::Yield);
         }
     }
@@ -236,30 +236,32 @@
                 }
                 tell(&myself, job::Event::Advised { question, answer: answer.ok() });
             })),
-            job::Effect::Look(look) => drop(tokio::spawn(async move {
+            job::Effect::SendHeartbeat(heartbeat) => drop(tokio::spawn(async move {
                 let answer = match decided.may_be_sent("look") {
-                    true => shared.workers.look(&look).await,
-                    false => job::LookAnswer::Silent,
+                    true => shared.workers.send_heartbeat(&heartbeat).await,
+                    false => job::HeartbeatAnswer::Silent,
                 };
-                let (worker, epoch) = (look.worker, look.epoch);
-                tell(&myself, job::Event::Looked { worker, epoch, answer });
+                let (worker, epoch) = (heartbeat.worker, heartbeat.epoch);
+                tell(&myself, job::Event::HeartbeatAnswered { worker, epoch, answer });
             })),
         }
     }
 }
 
 /// Returns what a host answers to a connection.
-async fn probe(addr: std::net::SocketAddr) -> job::Sign {
+async fn probe(addr: std::net::SocketAddr) -> job::ProbeResult {
     let connecting = tokio::net::TcpStream::connect(addr);
     match tokio::time::timeout(PROBE_TIMEOUT, connecting).await {
-        Ok(Ok(_)) => job::Sign::Listens,
-        Ok(Err(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => job::Sign::Refused,
+        Ok(Ok(_)) => job::ProbeResult::Listens,
+        Ok(Err(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => {
+            job::ProbeResult::Refused
+        }
         // Other errors are this host's own, such as too few descriptors, and say nothing of the holder.
         Ok(Err(err)) => {
             tracing::warn!(%addr, %err, "the holder can't be looked for");
-            job::Sign::Listens
+            job::ProbeResult::Listens
         }
-        Err(_) => job::Sign::Silent,
+        Err(_) => job::ProbeResult::Silent,
     }
 }
 
@@ -303,15 +305,16 @@
 
 /// Returns how the engine is timed.
 fn engine_settings(shared: &Shared) -> job::Settings {
-    let hold_max = shared.time("hold_max_ms");
+    let task_lease_max = shared.time("hold_max_ms");
     let strong = is_strong(&shared.settings);
-    let (handicap, poll) = if strong {
+    let (takeover_delay, poll) = if strong {
         (time::Duration::ZERO, "poll_ms")
     } else {
         (shared.time("weak_wait_ms"), "weak_poll_ms")
     };
     // A weak host looks at workers less often and hears of them late, so that its leases last as long as they may.
-    let hold = if strong { hold_max.min(shared.time("hold_ms")) } else { hold_max };
+    let task_lease =
+        if strong { task_lease_max.min(shared.time("hold_ms")) } else { task_lease_max };
     job::Settings {
         domain: 0,
         lease: shared.time("lease_ms"),
@@ -319,15 +322,15 @@
         addr: Some(shared.settings.operator_addr),
         probe: shared.time("probe_ms"),
         silence: shared.time("silence_ms"),
-        handicap,
+        takeover_delay,
         poll: shared.time(poll),
         commit: shared.time("commit_ms"),
         renew: shared.time("renew_ms"),
-        hold,
-        hold_max,
+        task_lease,
+        task_lease_max,
         stop: shared.time("stop_ms"),
-        look: shared.time("look_ms"),
-        look_idle: shared.time("look_idle_ms"),
+        heartbeat_wait: shared.time("look_ms"),
+        idle_heartbeat_gap: shared.time("look_idle_ms"),
         keep: time::Duration::from_secs(shared.settings.number("jobs", "keep_s")),
         closed_wait: shared.time("closed_wait_ms"),
         link_bytes_per_s: shared.settings.limits.link_mbps.map(|mbps| mbps * BYTES_PER_MBIT),
--- a/crates/daemon/src/jobs/mod.rs
+++ b/crates/daemon/src/jobs/mod.rs
@@ -67,7 +67,7 @@
             Ok(_) => "ok",
             Err(store::StoreError::TurnedAway { .. }) => "turned-away",
             Err(store::StoreError::Silent(_)) => "silent",
-            Err(store::StoreError::Strange { .. }) => "strange",
+            Err(store::StoreError::Unexpected { .. }) => "strange",
             Err(store::StoreError::Refused { status }) => {
                 tracing::error!(call, status, "the store refuses a call for good");
                 "refused"
--- a/crates/daemon/src/jobs/service.rs
+++ b/crates/daemon/src/jobs/service.rs
@@ -383,7 +383,7 @@
     match err {
         store::StoreError::TurnedAway { .. } => retry_after::Cause::StoreBusy,
         store::StoreError::Silent(_) => retry_after::Cause::StoreSilent,
-        store::StoreError::Refused { .. } | store::StoreError::Strange { .. } => {
+        store::StoreError::Refused { .. } | store::StoreError::Unexpected { .. } => {
             retry_after::Cause::NotKnown
         }
     }
--- a/crates/daemon/src/jobs/watch.rs
+++ b/crates/daemon/src/jobs/watch.rs
@@ -44,16 +44,16 @@
     Anew,
 }
 
-/// Follows the configuration and closed halls for the life of the process.
+/// Follows the configuration and closed halls for as long as the process runs.
 pub async fn config(shared: Shared, holder: ractor::ActorRef<holder::Msg>) {
     let key = rows::Key {
         table: config::OPERATOR_TABLE,
-        part: config::THEIR_PART.to_owned(),
+        part: config::EXTERNAL_PART.to_owned(),
         name: config::CONFIG_KEY.to_owned(),
     };
     let mut teller = halls::Teller::new(shared.clone(), holder.clone());
     loop {
-        let page = shared.store.all(key.table, &key.part).await;
+        let page = shared.store.read_part(key.table, &key.part).await;
         shared.count_call("config", &page);
         let page = match page {
             Ok(page) => page,
@@ -81,7 +81,8 @@
 
 /// Puts a configuration in force if it is newer.
 fn take_config(shared: &Shared, holder: &ractor::ActorRef<holder::Msg>, rows: &[rows::Row]) {
-    let ours = |row: &&rows::Row| row.name == config::CONFIG_KEY && row.part == config::THEIR_PART;
+    let ours =
+        |row: &&rows::Row| row.name == config::CONFIG_KEY && row.part == config::EXTERNAL_PART;
     let rows = rows.iter().filter(ours);
     for text in rows.filter_map(|row| row.value.as_deref()) {
         match config::queues(text) {
@@ -117,7 +118,7 @@
         let part = job::part(domain);
         let reads = async {
             tokio::join!(
-                self.all(entry::WORKERS_TABLE, config::THEIR_PART),
+                self.all(entry::WORKERS_TABLE, config::EXTERNAL_PART),
                 self.accepted(domain),
                 self.all(job::PROGRESS, &part),
                 self.all(job::LEARNED, &part),
@@ -166,7 +167,7 @@
                     holder::tell(&self.holder, job::Event::Member(worker, member));
                 }
             }
-            match self.all(entry::WORKERS_TABLE, config::THEIR_PART).await {
+            match self.all(entry::WORKERS_TABLE, config::EXTERNAL_PART).await {
                 Ok(page) => {
                     after = page.version;
                     self.tell_list(&page);
@@ -206,7 +207,7 @@
     /// lags knows no more than it has taken in.
     fn tell_heard(&self, heard_ms: Option<u64>) {
         if let Some(up_to_ms) = heard_ms {
-            holder::tell(&self.holder, job::Event::Heard { up_to_ms });
+            holder::tell(&self.holder, job::Event::JobsReadUpTo { up_to_ms });
         }
     }
 
@@ -237,7 +238,7 @@
 
     /// Reads a whole part of a table and counts the call.
     async fn all(&self, table: &str, part: &str) -> Result<rows::Page, store::StoreError> {
-        let page = self.shared.store.all(table, part).await;
+        let page = self.shared.store.read_part(table, part).await;
         self.shared.count_call("all", &page);
         page
     }
@@ -246,7 +247,7 @@
     async fn closed(&self) -> Result<rows::Page, store::StoreError> {
         let keys = (closed::FIRST_KEY, closed::END_KEY);
         let page =
-            self.shared.store.between(config::OPERATOR_TABLE, config::THEIR_PART, keys).await;
+            self.shared.store.read_range(config::OPERATOR_TABLE, config::EXTERNAL_PART, keys).await;
         self.shared.count_call("all", &page);
         page
     }
@@ -295,7 +296,7 @@
             pause(&err).await;
             let strange = matches!(
                 err,
-                store::StoreError::Strange { .. } | store::StoreError::Refused { .. }
+                store::StoreError::Unexpected { .. } | store::StoreError::Refused { .. }
             );
             if strange { Next::Anew } else { Next::Same }
         }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -5,7 +5,7 @@
 use std::ops;
 use std::time;
 
-use wharflane::{hall, id, interfere, lease, place, toml_read};
+use wharflane::{hall, id, interference, lease, placement, toml_read};
 
 /// The largest settings file, in bytes.
 const MAX_TEXT_BYTES: usize = 64 << 10;
@@ -239,15 +239,15 @@
             authority: control("authority_ms"),
             drain: control("drain_ms"),
             snapshot_every: self.number("control", "snapshot_commits"),
-            patience: interfere::Patience {
+            throttle_policy: interference::ThrottlePolicy {
                 misses: u32::try_from(self.number("control", "misses")).unwrap_or(u32::MAX),
                 settle: control("settle_ms"),
                 calm: u32::try_from(self.number("control", "calm_intervals")).unwrap_or(u32::MAX),
-                ..interfere::Patience::default()
+                ..interference::ThrottlePolicy::default()
             },
-            weights: place::Weights {
+            weights: placement::Weights {
                 harm: self.number("control", "harm_weight_percent") as f64 / 100.0,
-                ..place::Weights::default()
+                ..placement::Weights::default()
             },
         }
     }
--- a/crates/daemon/src/traffic/balancer.rs
+++ b/crates/daemon/src/traffic/balancer.rs
@@ -7,7 +7,7 @@
 
 use rand::RngExt as _;
 use tokio::sync::oneshot;
-use wharflane::{desired, digest, endpoints, id, latency, limit, outcome, retry, route};
+use wharflane::{desired, digest, endpoints, id, latency, outcome, queue, retry, route};
 
 use super::Limits;
 use crate::metrics;
@@ -22,7 +22,7 @@
     /// What is known of it.
     health: route::Health,
     /// The latencies since the last digest.
-    latencies: latency::Latencies,
+    latencies: latency::Histogram,
     /// The failures since the last digest.
     failures: u32,
 }
@@ -39,7 +39,7 @@
     /// The most requests of this host under way at one endpoint.
     cap: u32,
     /// The requests that wait.
-    queue: limit::Queue<Waiter>,
+    queue: queue::Queue<Waiter>,
     /// The retry budget.
     budget: retry::Budget,
 }
@@ -86,7 +86,7 @@
     /// It may go to an endpoint.
     Go(Permit),
     /// It is refused.
-    Refused(limit::Refused),
+    Refused(queue::Refused),
 }
 
 /// Why a request gets no endpoint.
@@ -95,7 +95,7 @@
     /// There is no endpoint.
     NoEndpoint,
     /// The queue can't serve it in time.
-    Overloaded(limit::Refused),
+    Overloaded(queue::Refused),
     /// It waited until its deadline.
     Expired,
 }
@@ -170,7 +170,7 @@
             slots: Vec::new(),
             at: collections::HashMap::new(),
             cap: 1,
-            queue: limit::Queue::new(limits.queue),
+            queue: queue::Queue::new(limits.queue),
             budget: retry::Budget::new(limits.retry_share_milli, limits.retry_burst),
         };
         Self { name, limits, metrics, state: sync::Mutex::new(state) }
@@ -235,9 +235,9 @@
             let start_by = deadline.saturating_sub(state.service_time());
             let waiter = Waiter { avoid, sender };
             match state.queue.push(priority, start_by, now, first, waiter) {
-                limit::Admission::Queued => {}
-                limit::Admission::Refused(refused) => return Err(NoPermit::Overloaded(refused)),
-                limit::Admission::Displaced(other, refused) => {
+                queue::Admission::Queued => {}
+                queue::Admission::Refused(refused) => return Err(NoPermit::Overloaded(refused)),
+                queue::Admission::Displaced(other, refused) => {
                     let _ = other.sender.send(Grant::Refused(refused));
                 }
             }
@@ -253,12 +253,12 @@
 
     /// Notes a first try in the retry budget.
     pub fn first_try(&self) {
-        self.lock().budget.first();
+        self.lock().budget.record_first_attempt();
     }
 
     /// Takes a retry out of the budget.
     pub fn may_retry(&self) -> bool {
-        self.lock().budget.take()
+        self.lock().budget.try_withdraw()
     }
 
     /// Marks an endpoint that said it is leaving.
@@ -270,7 +270,7 @@
     }
 
     /// Returns what was seen since the last call.
-    pub fn take_seen(&self, now: time::Duration) -> Vec<(id::HallId, digest::Seen)> {
+    pub fn take_seen(&self, now: time::Duration) -> Vec<(id::HallId, digest::EndpointStats)> {
         let mut state = self.lock();
         self.gauges(&state, now);
         let target_ms = state.service.as_ref().map_or(u64::MAX, |s| s.latency_target_ms);
@@ -283,7 +283,7 @@
             if p95_us <= target_ms.saturating_mul(1_000) && failures == 0 {
                 continue;
             }
-            let seen = digest::Seen {
+            let seen = digest::EndpointStats {
                 task: slot.endpoint.task.clone(),
                 in_flight: slot.health.in_flight,
                 answers: latencies.total(),
@@ -302,7 +302,7 @@
             task: slot.endpoint.task.clone(),
             addr: slot.endpoint.addr,
             leaving: slot.endpoint.leaving,
-            used: format!("{:?}", slot.health.usable(now)).to_lowercase(),
+            used: format!("{:?}", slot.health.availability(now)).to_lowercase(),
             in_flight: slot.health.in_flight,
             latency_us: slot.health.latency_us(),
         };
@@ -338,7 +338,7 @@
         end: Completion,
         now: time::Duration,
     ) {
-        let left = |slot: &Slot| slot.health.usable(now) == route::Use::Ejected;
+        let left = |slot: &Slot| slot.health.availability(now) == route::Availability::Ejected;
         let ejected = state.slots.iter().filter(|slot| left(slot)).count();
         let share = self.limits.eject_share_percent;
         let may_eject = route::may_eject(ejected, state.slots.len(), share);
@@ -351,7 +351,7 @@
             Completion::Open => {}
             Completion::Answered(latency) => {
                 slot.health.answered(latency);
-                slot.latencies.note(latency);
+                slot.latencies.record(latency);
             }
             Completion::Failed => {
                 slot.health.failed(now, may_eject);
@@ -396,7 +396,7 @@
         let only = !others_in_use(state, addr, now);
         let fits = |waiter: &Waiter| only || waiter.avoid != Avoid::Failed(addr);
         let (late, next) = state.queue.pop_for(now, fits);
-        let refused = limit::Refused { retry_after: state.queue.retry_after() };
+        let refused = queue::Refused { retry_after: state.queue.retry_after() };
         woken.extend(late.into_iter().map(|late| (late.sender, Grant::Refused(refused))));
         let found = next.is_some();
         match next {
@@ -427,7 +427,7 @@
             let count = state.slots.iter().filter(|slot| test(slot)).count();
             i64::try_from(count).unwrap_or(i64::MAX)
         };
-        let ejected = |slot: &Slot| slot.health.usable(now) == route::Use::Ejected;
+        let ejected = |slot: &Slot| slot.health.availability(now) == route::Availability::Ejected;
         let gauge = |state: &str, value: i64| {
             self.metrics.endpoints.with_label_values(&[service, state]).set(value);
         };
@@ -453,7 +453,7 @@
             hall: hall.clone(),
             endpoint: endpoint.clone(),
             health: route::Health::default(),
-            latencies: latency::Latencies::default(),
+            latencies: latency::Histogram::default(),
             failures: 0,
         }
     }
@@ -472,8 +472,9 @@
 
 /// Returns whether any endpoint but one is in use: neither leaving nor left.
 fn others_in_use(state: &State, addr: net::SocketAddr, now: time::Duration) -> bool {
-    let in_use =
-        |slot: &Slot| !slot.endpoint.leaving && slot.health.usable(now) == route::Use::Open;
+    let in_use = |slot: &Slot| {
+        !slot.endpoint.leaving && slot.health.availability(now) == route::Availability::Open
+    };
     state.slots.iter().any(|slot| slot.endpoint.addr != addr && in_use(slot))
 }
 
@@ -488,7 +489,7 @@
     let cost = |at: usize| {
         let slot: &Slot = &slots[at];
         let out = slot.endpoint.leaving || Some(slot.endpoint.addr) == without;
-        if out { None } else { route::offer(&slot.health, cap, now) }
+        if out { None } else { route::request_cost(&slot.health, cap, now) }
     };
     let mut rng = rand::rng();
     let at = route::pick(slots.len(), cost, |below| rng.random_range(0..below))?;
--- a/crates/daemon/src/traffic/forward.rs
+++ b/crates/daemon/src/traffic/forward.rs
@@ -66,7 +66,7 @@
     /// The endpoint's body.
     body: body::Incoming,
     /// Tells whether the endpoint stands still; nothing for a stream, which may be quiet for long.
-    watch: Option<guard::Watch>,
+    watch: Option<guard::StallTimer>,
     /// What is done at its end.
     ending: Option<Ending>,
     /// The clock.
@@ -84,7 +84,7 @@
         clock: sync::Arc<dyn clock::Clock>,
         metrics: metrics::Metrics,
     ) -> Self {
-        let watch = stall.map(guard::Watch::new);
+        let watch = stall.map(guard::StallTimer::new);
         let mut forward = Self { body, watch, ending: Some(ending), clock, metrics };
         if body::Body::is_end_stream(&forward.body) {
             forward.whole();
@@ -98,7 +98,7 @@
             return;
         };
         let now = self.clock.now();
-        ending.lease.whole();
+        ending.lease.release();
         if let Some(permit) = ending.permit {
             let latency = now.saturating_sub(ending.sent);
             if ending.well {
@@ -151,7 +151,7 @@
         if polled.is_ready()
             && let Some(watch) = &mut self.watch
         {
-            watch.moved();
+            watch.reset();
         }
         match polled {
             task::Poll::Pending => self.poll_stall(cx).map(|stalled| Some(Err(stalled.into()))),
--- a/crates/daemon/src/traffic/mod.rs
+++ b/crates/daemon/src/traffic/mod.rs
@@ -139,7 +139,7 @@
     /// Returns what this host saw since the last call, by hall, brings gauges up to date and closes idle
     /// connections.
     pub fn take_digests(&self, host: &id::HostId) -> Vec<digest::Digest> {
-        let mut halls: collections::BTreeMap<id::HallId, Vec<digest::Seen>> =
+        let mut halls: collections::BTreeMap<id::HallId, Vec<digest::EndpointStats>> =
             collections::BTreeMap::new();
         self.pool.prune();
         let now = self.clock.now();
--- a/crates/daemon/src/traffic/serve.rs
+++ b/crates/daemon/src/traffic/serve.rs
@@ -27,7 +27,7 @@
 const QUIET_PART: u32 = 2;
 
 /// The start of an answer and when its request was sent, or why there is none.
-type Tried = Result<(endpoint::Answer, time::Duration), endpoint::TryError>;
+type Tried = Result<(endpoint::Answer, time::Duration), endpoint::AttemptError>;
 
 /// An answer on its way.
 #[derive(Debug)]
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Rejection {
     /// Why.
-    why: reply::GaveUp,
+    why: reply::RequestError,
     /// What is known of it.
     outcome: outcome::Outcome,
     /// When it is worth to ask again.
@@ -126,14 +126,15 @@
         came: time::Duration,
     ) -> Result<Call<'a>, Rejection> {
         let balancers = self.balancers.load();
-        let balancer = balancers.get(&parsed.service).ok_or(not_run(reply::GaveUp::NoService))?;
-        let service = balancer.service().ok_or(not_run(reply::GaveUp::NoService))?;
+        let balancer =
+            balancers.get(&parsed.service).ok_or(not_run(reply::RequestError::NoService))?;
+        let service = balancer.service().ok_or(not_run(reply::RequestError::NoService))?;
         let repeatable = parsed.repeatable.unwrap_or(service.repeatable);
         if !repeatable && parsed.request_id.is_some() {
             let key = duplicate_key(&parsed.service, request_id);
             if !self.duplicates.note(&key, came) {
                 let outcome = outcome::Outcome::Unknown;
-                let why = reply::GaveUp::Duplicate;
+                let why = reply::RequestError::Duplicate;
                 return Err(Rejection { why, outcome, retry_after: LEAST_RETRY_AFTER });
             }
         }
@@ -160,7 +161,7 @@
         call: &Call<'_>,
         under_way: forward::UnderWay,
     ) -> Result<http_reply::Reply, Rejection> {
-        let mut tries = outcome::Tries::default();
+        let mut tries = outcome::Attempts::default();
         let mut avoid = balancer::Avoid::Nothing;
         call.balancer.first_try();
         loop {
@@ -184,7 +185,7 @@
     }
 
     /// Returns whether one more try may be made, but for the retry budget.
-    fn try_left(&self, call: &Call<'_>, tries: &outcome::Tries) -> bool {
+    fn try_left(&self, call: &Call<'_>, tries: &outcome::Attempts) -> bool {
         let allowed = tries.made() < self.limits.tries && self.clock.now() < call.deadline;
         allowed && tries.may_repeat(call.repeatable)
     }
@@ -199,7 +200,7 @@
         &self,
         call: &Call<'_>,
         permit: balancer::Permit,
-        tries: &mut outcome::Tries,
+        tries: &mut outcome::Attempts,
     ) -> Result<Answered, Failed> {
         let addr = permit.addr;
         let patience = call.deadline.saturating_sub(self.clock.now()) / QUIET_PART;
@@ -230,7 +231,7 @@
         call: &Call<'_>,
         mut first: std::pin::Pin<&mut impl Future<Output = Tried>>,
         addr: std::net::SocketAddr,
-        tries: &mut outcome::Tries,
+        tries: &mut outcome::Attempts,
     ) -> Beside {
         // The first may have run, and may yet answer: it counts as open for the second.
         let mut open = *tries;
@@ -266,7 +267,7 @@
         &self,
         call: &Call<'_>,
         failed_at: std::net::SocketAddr,
-        mut tries: outcome::Tries,
+        mut tries: outcome::Attempts,
     ) -> Result<Answered, Option<outcome::Failure>> {
         let entered = self.enter(call, &tries, balancer::Avoid::Failed(failed_at)).await;
         let permit = entered.map_err(|_rejection| None)?;
@@ -290,8 +291,8 @@
         &self,
         call: &Call<'_>,
         permit: balancer::Permit,
-        err: &endpoint::TryError,
-        tries: &mut outcome::Tries,
+        err: &endpoint::AttemptError,
+        tries: &mut outcome::Attempts,
     ) -> Failed {
         let addr = permit.addr;
         if err.leaving {
@@ -311,7 +312,7 @@
         call: &Call<'_>,
         permit: balancer::Permit,
         failure: outcome::Failure,
-        tries: &mut outcome::Tries,
+        tries: &mut outcome::Attempts,
     ) {
         let service = call.parsed.service.as_str();
         self.metrics.failures.with_label_values(&[service, failure.label()]).inc();
@@ -323,19 +324,21 @@
     async fn enter(
         &self,
         call: &Call<'_>,
-        tries: &outcome::Tries,
+        tries: &outcome::Attempts,
         avoid: balancer::Avoid,
     ) -> Result<balancer::Permit, Rejection> {
         let now = self.clock.now();
-        let first = *tries == outcome::Tries::default();
+        let first = *tries == outcome::Attempts::default();
         let entered = call.balancer.enter(call.priority, now, call.deadline, first, avoid).await;
         entered.map_err(|none| {
             let (why, retry_after) = match none {
-                balancer::NoPermit::NoEndpoint => (reply::GaveUp::NoEndpoint, LEAST_RETRY_AFTER),
+                balancer::NoPermit::NoEndpoint => {
+                    (reply::RequestError::NoEndpoint, LEAST_RETRY_AFTER)
+                }
                 balancer::NoPermit::Overloaded(refused) => {
-                    (reply::GaveUp::Overloaded, refused.retry_after)
+                    (reply::RequestError::Overloaded, refused.retry_after)
                 }
-                balancer::NoPermit::Expired => (reply::GaveUp::Expired, LEAST_RETRY_AFTER),
+                balancer::NoPermit::Expired => (reply::RequestError::Expired, LEAST_RETRY_AFTER),
             };
             Rejection { why, outcome: tries.outcome(), retry_after }
         })
@@ -364,7 +367,7 @@
         let (mut head, body) = answer.response.into_parts();
         request::strip_connection(&mut head.headers);
         head.version = hyper::Version::default();
-        reply::mark(&mut head.headers, outcome, call.request_id);
+        reply::set_outcome_headers(&mut head.headers, outcome, call.request_id);
         let now = self.clock.now();
         // A stream lasts as long as its caller likes, so it is counted apart from the slots.
         let permit = if call.parsed.watch {
@@ -398,7 +401,7 @@
         let service = if known { service } else { "" };
         self.metrics.requests.with_label_values(&[service, rejection.outcome.label()]).inc();
         self.metrics.gave_up.with_label_values(&[service, rejection.why.label()]).inc();
-        reply::gave_up(rejection.why, rejection.outcome, request_id, rejection.retry_after)
+        reply::error_reply(rejection.why, rejection.outcome, request_id, rejection.retry_after)
     }
 
     /// Wakes waiting requests whose place became free by time alone.
@@ -452,29 +455,29 @@
 }
 
 /// Returns the end of a request after its last try.
-fn given_up(failure: outcome::Failure, tries: &outcome::Tries) -> Rejection {
+fn given_up(failure: outcome::Failure, tries: &outcome::Attempts) -> Rejection {
     let why = match failure {
-        outcome::Failure::TimedOut => reply::GaveUp::TimedOut,
-        outcome::Failure::Refused => reply::GaveUp::Overloaded,
-        outcome::Failure::NotSent | outcome::Failure::Lost => reply::GaveUp::Failed,
+        outcome::Failure::TimedOut => reply::RequestError::TimedOut,
+        outcome::Failure::Refused => reply::RequestError::Overloaded,
+        outcome::Failure::NotSent | outcome::Failure::Lost => reply::RequestError::Failed,
     };
     Rejection { why, outcome: tries.outcome(), retry_after: LEAST_RETRY_AFTER }
 }
 
 /// Returns the end of a request of which nothing was sent.
-fn not_run(why: reply::GaveUp) -> Rejection {
+fn not_run(why: reply::RequestError) -> Rejection {
     Rejection { why, outcome: outcome::Outcome::NotRun, retry_after: LEAST_RETRY_AFTER }
 }
 
 /// Returns why a request was not taken.
-fn why_bad(err: &request::BadRequest) -> reply::GaveUp {
+fn why_bad(err: &request::BadRequest) -> reply::RequestError {
     match err {
         request::BadRequest::Body(server::ReadError::TooLarge { .. }) => {
-            reply::GaveUp::BodyTooLarge
+            reply::RequestError::BodyTooLarge
         }
-        request::BadRequest::Body(_) => reply::GaveUp::BodyBroken,
+        request::BadRequest::Body(_) => reply::RequestError::BodyBroken,
         request::BadRequest::NoService | request::BadRequest::Header { .. } => {
-            reply::GaveUp::BadRequest
+            reply::RequestError::BadRequest
         }
     }
 }
--- a/crates/daemon/tests/closed_rows.rs
+++ b/crates/daemon/tests/closed_rows.rs
@@ -80,13 +80,13 @@
                 {"part":"","tls_key":"evacuate/west","ver":6}],"ver":6}"#;
             let store = store::Store::new(answering(text).await, time::Duration::from_secs(5));
             let keys = (halls::FIRST_KEY, halls::END_KEY);
-            store.between(config::OPERATOR_TABLE, config::THEIR_PART, keys).await.expect("rows")
+            store.read_range(config::OPERATOR_TABLE, config::EXTERNAL_PART, keys).await.expect("rows")
         });
         assert_eq!(closed::read(&read), named(6, &["north", "west"]));
     },
     a_key_is_read_back_as_its_hall => {
         let key = halls::key(&"north".into());
-        assert_eq!(halls::named(&row(&key.name, &key.part, false)), Some("north".into()));
+        assert_eq!(halls::closed_hall(&row(&key.name, &key.part, false)), Some("north".into()));
         assert!(key.name.as_str() >= halls::FIRST_KEY && key.name.as_str() < halls::END_KEY);
     },
 }
--- a/crates/daemon/tests/entries.rs
+++ b/crates/daemon/tests/entries.rs
@@ -6,7 +6,7 @@
 
 use ractor::Actor;
 use wharflane::{job, rows};
-use wharflane_adapter::{config, entry, serve};
+use wharflane_adapter::{config, entry, server_codec};
 use wharflane_daemon::jobs::{holder, watch};
 use wharflane_stand_in::cases;
 use wharflane_stand_in::jobs::server;
@@ -55,7 +55,9 @@
         let mut told = self.0.lock().expect("a lock");
         match *event {
             job::Event::Listed(list) => {
-                told.lists.push(list.iter().map(|member| member.life.worker.to_string()).collect());
+                told.lists.push(
+                    list.iter().map(|member| member.incarnation.worker.to_string()).collect(),
+                );
             }
             job::Event::Member(worker, member) => {
                 told.changes.push((worker.to_string(), member.is_some()));
@@ -123,8 +125,8 @@
 
 /// Returns the entry of a worker.
 fn text() -> String {
-    serve::member(&job::Member {
-        life: "w0".into(),
+    server_codec::member(&job::Member {
+        incarnation: "w0".into(),
         addr: ([127, 0, 0, 1], 1).into(),
         hall: "hall".into(),
         service: "service".into(),
@@ -144,7 +146,7 @@
     bad_entries_beside_a_good_one_leave_it_in_the_list => run(async {
         let followed = Followed::start(|platform| {
             for (name, value) in [("a", "{}"), ("b", "no json"), ("z", "{\"service\":7}")] {
-                platform.write_row(key(name, config::THEIR_PART), Some(value.to_owned()));
+                platform.write_row(key(name, config::EXTERNAL_PART), Some(value.to_owned()));
             }
         });
         let followed = followed.await;
@@ -154,7 +156,7 @@
         let followed = Followed::start(|platform| {
             for at in 0..MORE_THAN_A_PAGE {
                 let name = format!("a key & its = {at:04} % # ? \u{e4}\u{10ffff}");
-                platform.write_row(key(&name, config::THEIR_PART), Some("odd".to_owned()));
+                platform.write_row(key(&name, config::EXTERNAL_PART), Some("odd".to_owned()));
             }
         });
         let followed = followed.await;
@@ -168,12 +170,12 @@
         let elsewhere = key("w0", "elsewhere");
         followed.platform.write_row(elsewhere.clone(), Some(text()));
         followed.platform.write_row(elsewhere, None);
-        followed.platform.write_row(key("w1", config::THEIR_PART), Some(text()));
+        followed.platform.write_row(key("w1", config::EXTERNAL_PART), Some(text()));
         assert_eq!(followed.changes(1).await, [("w1".to_owned(), true)]);
     }),
     an_entry_that_turns_bad_counts_as_gone_and_comes_back => run(async {
         let followed = Followed::start(|_| {}).await;
-        let own = key("w0", config::THEIR_PART);
+        let own = key("w0", config::EXTERNAL_PART);
         let unknown = text().replace("ready", "asleep");
         for value in [unknown, text(), "no json".to_owned(), text()] {
             followed.platform.write_row(own.clone(), Some(value));
--- a/crates/daemon/tests/silence/endpoints.rs
+++ b/crates/daemon/tests/silence/endpoints.rs
@@ -70,7 +70,7 @@
     let answer = pool.exchange(addr, request(), TRY).await.map_err(|err| err.failure)?;
     let pool::Answer { response, lease } = answer;
     response.into_body().collect().await.map_err(|_broken| outcome::Failure::Lost)?;
-    lease.whole();
+    lease.release();
     Ok(())
 }
 
--- a/crates/daemon/tests/silence/peers.rs
+++ b/crates/daemon/tests/silence/peers.rs
@@ -133,10 +133,10 @@
     let hear = move |gossip: peer::Gossip| {
         news.calls.fetch_add(1, atomic::Ordering::Relaxed);
         news.revision.fetch_max(gossip.revision, atomic::Ordering::Relaxed);
-        peer::Heard { revision: 0 }
+        peer::GossipReply { revision: 0 }
     };
     let all = || peer::Handover { config: None, tables: Vec::new() };
-    let answers = peer::Answers { gossip: sync::Arc::new(hear), handover: sync::Arc::new(all) };
+    let answers = peer::Handlers { gossip: sync::Arc::new(hear), handover: sync::Arc::new(all) };
     tokio::spawn(peer::serve(listener, idle, answers));
     proxy::Proxy::start(addr).await.expect("a proxy")
 }
--- a/crates/endpoint/src/lib.rs
+++ b/crates/endpoint/src/lib.rs
@@ -20,7 +20,7 @@
 /// A try that ended without an answer.
 #[derive(Debug, thiserror::Error)]
 #[error("no answer from the endpoint: {}", failure.label())]
-pub struct TryError {
+pub struct AttemptError {
     /// What is known of the request.
     pub failure: outcome::Failure,
     /// Whether the endpoint said that it is leaving.
@@ -66,7 +66,7 @@
     }
 
     /// Gives the connection back after the whole answer was read.
-    pub fn whole(self) {
+    pub fn release(self) {
         let Self { pool, addr, sender } = self;
         pool.put(addr, sender);
     }
@@ -114,13 +114,13 @@
     /// Makes one try of a request at an endpoint and returns the start of its answer.
     ///
     /// # Errors
-    /// Returns `TryError` with what is known of the request.
+    /// Returns `AttemptError` with what is known of the request.
     pub async fn exchange(
         self: &sync::Arc<Self>,
         addr: net::SocketAddr,
         request: hyper::Request<connection::Body>,
         timeout: time::Duration,
-    ) -> Result<Answer, TryError> {
+    ) -> Result<Answer, AttemptError> {
         let deadline = tokio::time::Instant::now() + timeout;
         let idle =
             connection::first_ready(deadline, || self.take_idle(addr), |sender| sender).await;
@@ -135,7 +135,10 @@
             let mut err = match sent {
                 Err(_) => {
                     let retired = self.retire(addr);
-                    return Err(TryError { retired, ..failed(outcome::Failure::TimedOut, None) });
+                    return Err(AttemptError {
+                        retired,
+                        ..failed(outcome::Failure::TimedOut, None)
+                    });
                 }
                 Ok(Ok(response)) => return self.check(addr, sender, response),
                 Ok(Err(err)) => err,
@@ -182,16 +185,16 @@
         addr: net::SocketAddr,
         sender: connection::Sender,
         response: hyper::Response<body::Incoming>,
-    ) -> Result<Answer, TryError> {
+    ) -> Result<Answer, AttemptError> {
         let lease = ConnLease { pool: sync::Arc::clone(self), addr, sender };
         let refused = response.headers().get(REFUSED).is_some_and(|value| value == "not-run");
         if refused {
             let leaving = response.headers().contains_key(LEAVING);
             let ended = response.body().is_end_stream();
             if ended {
-                lease.whole();
+                lease.release();
             }
-            return Err(TryError { leaving, ..failed(outcome::Failure::Refused, None) });
+            return Err(AttemptError { leaving, ..failed(outcome::Failure::Refused, None) });
         }
         if !framed(&response) {
             // The end of such a body can't be told from a break, so it is never taken as whole.
@@ -207,7 +210,7 @@
     }
 
     /// Makes a connection; nothing of a request has been sent if that fails.
-    async fn connect(&self, addr: net::SocketAddr) -> Result<connection::Sender, TryError> {
+    async fn connect(&self, addr: net::SocketAddr) -> Result<connection::Sender, AttemptError> {
         let not_sent = |source| failed(outcome::Failure::NotSent, Some(source));
         let opening = connection::open(addr);
         let opened = tokio::time::timeout(self.bounds.connect_timeout, opening).await;
@@ -247,6 +250,6 @@
 }
 
 /// Returns a failure.
-fn failed(failure: outcome::Failure, source: Option<io::Error>) -> TryError {
-    TryError { failure, leaving: false, retired: 0, source }
+fn failed(failure: outcome::Failure, source: Option<io::Error>) -> AttemptError {
+    AttemptError { failure, leaving: false, retired: 0, source }
 }
--- a/crates/endpoint/tests/closed_while_idle.rs
+++ b/crates/endpoint/tests/closed_while_idle.rs
@@ -54,12 +54,12 @@
 async fn ask(
     pool: &sync::Arc<endpoint::Pool>,
     addr: net::SocketAddr,
-) -> Result<StatusCode, endpoint::TryError> {
+) -> Result<StatusCode, endpoint::AttemptError> {
     let request = hyper::Request::post("/").header("host", addr.to_string());
     let request = request.body(http_body_util::Full::default()).expect("a request");
     let answer = pool.exchange(addr, request, PATIENCE).await?;
     let status = answer.response.status();
     answer.response.into_body().collect().await.expect("a whole body");
-    answer.lease.whole();
+    answer.lease.release();
     Ok(status)
 }
--- a/crates/endpoint/tests/odd_endpoints.rs
+++ b/crates/endpoint/tests/odd_endpoints.rs
@@ -64,7 +64,7 @@
     let answer = tokio::time::timeout(2 * PATIENCE, exchange).await.expect("an end in time");
     let answer = answer.map_err(|err| err.failure)?;
     answer.response.into_body().collect().await.expect("a whole body");
-    answer.lease.whole();
+    answer.lease.release();
     Ok(())
 }
 
--- a/crates/http/src/guard.rs
+++ b/crates/http/src/guard.rs
@@ -13,7 +13,7 @@
 
 /// Tells a standstill: runs only while something is awaited, and begins anew with each step forward.
 #[derive(Debug)]
-pub struct Watch {
+pub struct StallTimer {
     /// How long something may be awaited.
     limit: time::Duration,
     /// Ends when it was; made at the first wait.
@@ -22,7 +22,7 @@
     waits: bool,
 }
 
-impl Watch {
+impl StallTimer {
     /// Makes a watch that does not run yet.
     #[must_use]
     pub fn new(limit: time::Duration) -> Self {
@@ -36,7 +36,7 @@
     }
 
     /// Notes a step forward.
-    pub fn moved(&mut self) {
+    pub fn reset(&mut self) {
         self.waits = false;
     }
 
@@ -61,7 +61,7 @@
     /// What is awaited of the start; nothing once it tells the version of HTTP.
     start: Option<Start>,
     /// Tells whether an answer stands still.
-    writes: Watch,
+    writes: StallTimer,
 }
 
 /// The start of a connection, up to where its version of HTTP is told.
@@ -70,15 +70,15 @@
     /// How much of the preface came.
     come_bytes: usize,
     /// Tells whether the rest takes too long.
-    rest: Watch,
+    rest: StallTimer,
 }
 
 impl Guarded {
     /// Guards a new connection.
     #[must_use]
     pub fn new(stream: net::TcpStream, start: time::Duration, stall: time::Duration) -> Self {
-        let start = Start { come_bytes: 0, rest: Watch::new(start) };
-        Self { stream, start: Some(start), writes: Watch::new(stall) }
+        let start = Start { come_bytes: 0, rest: StallTimer::new(start) };
+        Self { stream, start: Some(start), writes: StallTimer::new(stall) }
     }
 
     /// Returns what a write came to, or the end of the connection after a standstill.
@@ -88,7 +88,7 @@
         polled: task::Poll<io::Result<usize>>,
     ) -> task::Poll<io::Result<usize>> {
         if polled.is_ready() {
-            self.writes.moved();
+            self.writes.reset();
             return polled;
         }
         self.writes.poll(cx).map(|()| Err(io::ErrorKind::TimedOut.into()))
--- a/crates/http/tests/silence.rs
+++ b/crates/http/tests/silence.rs
@@ -14,7 +14,7 @@
     of_calls_of_the_store_silence_costs_one => run(store_calls()),
     of_feeds_silence_costs_one => run(store_feeds()),
     of_calls_whose_callers_wait_less_silence_costs_one => run(impatient_calls()),
-    of_looks_at_a_worker_silence_costs_one => run(worker_looks()),
+    of_looks_at_a_worker_silence_costs_one => run(worker_heartbeats()),
     of_orders_to_a_worker_silence_costs_one => run(worker_orders()),
     of_questions_for_advice_silence_costs_one => run(questions()),
 }
@@ -114,7 +114,7 @@
     /// The client.
     client: workers::Workers,
     /// The worker.
-    life: id::Life,
+    incarnation: id::Incarnation,
 }
 
 impl Worker {
@@ -122,36 +122,37 @@
     async fn start() -> Self {
         let platform = platform(1).await;
         let store = store::Store::new(platform.store, LIMIT);
-        let listed = store.all(entry::WORKERS_TABLE, config::THEIR_PART).await.expect("a list");
+        let listed =
+            store.read_part(entry::WORKERS_TABLE, config::EXTERNAL_PART).await.expect("a list");
         let member = entry::member(&listed.rows[0]).expect("a worker");
         let member = member.expect("one that is listed");
-        let (life, proxy) = (member.life, before(member.addr).await);
+        let (incarnation, proxy) = (member.incarnation, before(member.addr).await);
         let client = workers::Workers::new(LIMIT);
-        let worker = Self { _platform: platform, proxy, client, life };
-        let looks = future::join_all((0..AT_ONCE).map(|_| worker.look(WAIT))).await;
-        assert_eq!(looks, [true; AT_ONCE]);
+        let worker = Self { _platform: platform, proxy, client, incarnation };
+        let heartbeats = future::join_all((0..AT_ONCE).map(|_| worker.send_heartbeat(WAIT))).await;
+        assert_eq!(heartbeats, [true; AT_ONCE]);
         let opened = worker.proxy.opened();
         assert!(opened >= AT_ONCE, "{opened} connections");
         worker
     }
 
     /// Looks at the worker and returns whether it answered.
-    async fn look(&self, wait: time::Duration) -> bool {
-        let look = job::Look {
-            worker: self.life.clone(),
+    async fn send_heartbeat(&self, wait: time::Duration) -> bool {
+        let heartbeat = job::Heartbeat {
+            worker: self.incarnation.clone(),
             addr: self.proxy.addr,
             epoch: 1,
             seen: 0,
             lease_until_ms: None,
             wait,
         };
-        matches!(self.client.look(&look).await, job::LookAnswer::Lists(_))
+        matches!(self.client.send_heartbeat(&heartbeat).await, job::HeartbeatAnswer::Lists(_))
     }
 
     /// Orders the start of a task and returns whether it was taken.
     async fn start_task(&self) -> bool {
         let task = job::TaskId { job: job::JobId(1), round: 0, step: 0, index: 0 };
-        let (worker, addr) = (self.life.clone(), self.proxy.addr);
+        let (worker, addr) = (self.incarnation.clone(), self.proxy.addr);
         let start = job::Start {
             order: job::Order { worker, addr, task, run: 1, epoch: 1 },
             spec: String::new(),
@@ -164,10 +165,10 @@
 }
 
 /// Looks at a worker, one after another, over connections that went silent while idle.
-async fn worker_looks() {
+async fn worker_heartbeats() {
     let worker = Worker::start().await;
     worker.proxy.silence();
-    only_the_first_is_lost(&one_by_one(async || worker.look(WAIT).await).await);
+    only_the_first_is_lost(&one_by_one(async || worker.send_heartbeat(WAIT).await).await);
 }
 
 /// Orders to a worker, one after another, over connections that went silent while idle.
@@ -182,7 +183,7 @@
     let platform = platform(1).await;
     let proxy = before(platform.advisor).await;
     let advisor = advice::Advisor::new(Some(proxy.addr));
-    let question = job::Question {
+    let question = job::AdviceRequest {
         job: job::JobId(1),
         round: 0,
         step: 0,
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -15,7 +15,7 @@
 
 /// How long a peer's connection may bring no call: two and a half times the longest time between two
 /// messages to a peer that the settings allow, so that only a silent one is closed.
-pub const IDLE: time::Duration = time::Duration::from_secs(150);
+pub const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(150);
 /// The largest message, in bytes.
 const MAX_FRAME_BYTES: usize = 32 << 20;
 
@@ -32,7 +32,7 @@
 
 /// What a peer answers to gossip.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Heard {
+pub struct GossipReply {
     /// The configuration revision that the receiver has in force.
     pub revision: u64,
 }
@@ -50,7 +50,7 @@
 #[tarpc::service]
 pub trait Peer {
     /// Takes news and says what the receiver has.
-    async fn gossip(gossip: Gossip) -> Heard;
+    async fn gossip(gossip: Gossip) -> GossipReply;
     /// Returns the configuration in force and all endpoint tables.
     async fn handover() -> Handover;
 }
@@ -115,7 +115,7 @@
         &self,
         gossip: Gossip,
         timeout: time::Duration,
-    ) -> Result<Heard, PeerError> {
+    ) -> Result<GossipReply, PeerError> {
         Ok(self.client.gossip(context(timeout), gossip).await?)
     }
 
@@ -136,27 +136,27 @@
 }
 
 /// What answers a peer's gossip.
-pub type OnGossip = dyn Fn(Gossip) -> Heard + Send + Sync;
+pub type OnGossip = dyn Fn(Gossip) -> GossipReply + Send + Sync;
 /// What answers a newcomer.
 pub type OnHandover = dyn Fn() -> Handover + Send + Sync;
 
 /// The answers to peers.
 #[derive(Clone)]
-pub struct Answers {
+pub struct Handlers {
     /// Takes news.
     pub gossip: sync::Arc<OnGossip>,
     /// Hands over.
     pub handover: sync::Arc<OnHandover>,
 }
 
-impl fmt::Debug for Answers {
+impl fmt::Debug for Handlers {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Answers").finish_non_exhaustive()
     }
 }
 
-impl Peer for Answers {
-    async fn gossip(self, _: tarpc::context::Context, gossip: Gossip) -> Heard {
+impl Peer for Handlers {
+    async fn gossip(self, _: tarpc::context::Context, gossip: Gossip) -> GossipReply {
         (self.gossip)(gossip)
     }
 
@@ -166,7 +166,7 @@
 }
 
 /// Serves peers on a listener until the process ends; a connection without a call for `idle` is closed.
-pub async fn serve(listener: tokio::net::TcpListener, idle: time::Duration, server: Answers) {
+pub async fn serve(listener: tokio::net::TcpListener, idle: time::Duration, server: Handlers) {
     let accepted = futures::stream::unfold(listener, |listener| async move {
         Some((listener.accept().await, listener))
     });
--- a/crates/stand-in/src/jobs/callers.rs
+++ b/crates/stand-in/src/jobs/callers.rs
@@ -66,9 +66,9 @@
         self.rows.transact(&table::Txn { expects: Vec::new(), writes: vec![write] });
         let event = job::Event::Jobs(self.rows.get(&key).into_iter().collect());
         for host in 0..self.hosts.len() {
-            let life = self.hosts[host].life;
+            let incarnation = self.hosts[host].incarnation;
             let way = self.way();
-            self.send(way, mail::Message::Back(host, life, Box::new(event.clone())));
+            self.send(way, mail::Message::Back(host, incarnation, Box::new(event.clone())));
         }
     }
 }
--- a/crates/stand-in/src/jobs/closing.rs
+++ b/crates/stand-in/src/jobs/closing.rs
@@ -58,9 +58,9 @@
         }
         let event = job::Event::Closed(self.closed_halls());
         for host in 0..self.hosts.len() {
-            let life = self.hosts[host].life;
+            let incarnation = self.hosts[host].incarnation;
             let way = self.way();
-            self.send(way, mail::Message::Back(host, life, Box::new(event.clone())));
+            self.send(way, mail::Message::Back(host, incarnation, Box::new(event.clone())));
         }
     }
 
@@ -83,7 +83,7 @@
     pub(super) fn judge_closed(
         &mut self,
         task: job::TaskId,
-        worker: &id::Life,
+        worker: &id::Incarnation,
         ordered: time::Duration,
     ) {
         let hall =
--- a/crates/stand-in/src/jobs/crew.rs
+++ b/crates/stand-in/src/jobs/crew.rs
@@ -11,7 +11,7 @@
     pub(super) fn start(
         &mut self,
         host: usize,
-        life: u64,
+        incarnation: u64,
         start: &job::Start,
         lost: bool,
         ordered: time::Duration,
@@ -29,7 +29,7 @@
                     false => (job::StartAnswer::Silent, time::Duration::from_millis(600)),
                 };
                 let event = job::Event::Started { order: start.order.clone(), answer };
-                self.send(after, mail::Message::Back(host, life, Box::new(event)));
+                self.send(after, mail::Message::Back(host, incarnation, Box::new(event)));
             }
             return;
         };
@@ -45,45 +45,47 @@
         if !lost {
             let way = self.way_back();
             let event = job::Event::Started { order: start.order.clone(), answer };
-            self.send(way, mail::Message::Back(host, life, Box::new(event)));
+            self.send(way, mail::Message::Back(host, incarnation, Box::new(event)));
         }
     }
 
     /// Lets a look arrive; it waits for an end where it may.
-    pub(super) fn look(
+    pub(super) fn handle_heartbeat(
         &mut self,
         host: usize,
-        life: u64,
-        look: job::Look,
+        incarnation: u64,
+        heartbeat: job::Heartbeat,
         latest: time::Duration,
         lost: bool,
     ) {
         let now = self.now;
-        let (worker, epoch) = (look.worker.clone(), look.epoch);
-        let gone = self.is_replaced(&look.worker);
-        let answer = match self.reach(&look.worker) {
-            None if gone => job::LookAnswer::Gone,
-            None => job::LookAnswer::Silent,
+        let (worker, epoch) = (heartbeat.worker.clone(), heartbeat.epoch);
+        let gone = self.is_replaced(&heartbeat.worker);
+        let answer = match self.reach(&heartbeat.worker) {
+            None if gone => job::HeartbeatAnswer::Gone,
+            None => job::HeartbeatAnswer::Silent,
             Some(found) => {
                 let ended = found.ended().to_vec();
-                let answer = found.look(&look, now);
-                let news = matches!(&answer, job::LookAnswer::Lists(l) if !l.ended.is_empty());
+                let answer = found.handle_heartbeat(&heartbeat, now);
+                let news = matches!(&answer, job::HeartbeatAnswer::Lists(l) if !l.ended.is_empty());
                 let stale = found.stale;
-                if matches!(answer, job::LookAnswer::Lists(_)) {
-                    self.judge.acknowledged(&ended, look.seen, stale);
+                if matches!(answer, job::HeartbeatAnswer::Lists(_)) {
+                    self.judge.acknowledged(&ended, heartbeat.seen, stale);
                 }
-                if !news && now < latest && matches!(answer, job::LookAnswer::Lists(_)) {
-                    return self
-                        .send(world::STEP, mail::Message::Look(host, life, look, latest, lost));
+                if !news && now < latest && matches!(answer, job::HeartbeatAnswer::Lists(_)) {
+                    return self.send(
+                        world::STEP,
+                        mail::Message::Heartbeat(host, incarnation, heartbeat, latest, lost),
+                    );
                 }
                 answer
             }
         };
-        let silent = answer == job::LookAnswer::Silent || lost;
+        let silent = answer == job::HeartbeatAnswer::Silent || lost;
         let after = if silent { time::Duration::from_millis(600) } else { self.way_back() };
-        let answer = if silent { job::LookAnswer::Silent } else { answer };
-        let event = job::Event::Looked { worker, epoch, answer };
-        self.send(after, mail::Message::Back(host, life, Box::new(event)));
+        let answer = if silent { job::HeartbeatAnswer::Silent } else { answer };
+        let event = job::Event::HeartbeatAnswered { worker, epoch, answer };
+        self.send(after, mail::Message::Back(host, incarnation, Box::new(event)));
     }
 
     /// Returns how a task behaves, always the same way.
--- a/crates/stand-in/src/jobs/culprit.rs
+++ b/crates/stand-in/src/jobs/culprit.rs
@@ -11,7 +11,7 @@
 const CRASH_AFTER: time::Duration = time::Duration::from_millis(10);
 /// The same where it goes down a while later, in milliseconds.
 const CRASH_LATE_MS: std::ops::Range<u64> = 500..5_000;
-/// How long a crashed worker is away, in milliseconds, until another life answers at its address.
+/// How long a crashed worker is away, in milliseconds, until another incarnation answers at its address.
 const AWAY_MS: std::ops::Range<u64> = 1_000..3_000;
 /// What jobs are dealt by, so that the share of those with such a task can be set in thousandths.
 const THOUSAND: u64 = 1_000;
@@ -31,7 +31,7 @@
     }
 
     /// Lets a worker go down soon because of what it has just started.
-    pub(super) fn doom(&mut self, worker: &id::Life, task: job::TaskId, run: u32) {
+    pub(super) fn doom(&mut self, worker: &id::Incarnation, task: job::TaskId, run: u32) {
         let alive = |found: &worker::Worker| found.alive && found.is_meant(worker);
         let Some(at) = self.workers.iter().position(alive) else {
             return;
@@ -73,7 +73,7 @@
         self.send(away, mail::Message::Replace(at));
     }
 
-    /// Lets another life of a crashed worker come, at the same address.
+    /// Lets another incarnation of a crashed worker come, at the same address.
     pub(super) fn replace(&mut self, at: usize) {
         self.workers[at].listed = false;
         self.workers[at].replaced = true;
@@ -82,8 +82,8 @@
         self.tell_member(self.workers.len() - 1);
     }
 
-    /// Returns whether another life answers where a worker was.
-    pub(super) fn is_replaced(&self, worker: &id::Life) -> bool {
+    /// Returns whether another incarnation answers where a worker was.
+    pub(super) fn is_replaced(&self, worker: &id::Incarnation) -> bool {
         self.workers.iter().any(|found| found.is_meant(worker) && found.replaced)
     }
 
--- a/crates/stand-in/src/jobs/effects.rs
+++ b/crates/stand-in/src/jobs/effects.rs
@@ -10,7 +10,7 @@
 
 impl world::World {
     /// Sends one effect on its way.
-    pub(super) fn carry_out(&mut self, host: usize, life: u64, effect: job::Effect) {
+    pub(super) fn carry_out(&mut self, host: usize, incarnation: u64, effect: job::Effect) {
         let way = self.way();
         match effect {
             job::Effect::ReadLease => {
@@ -20,30 +20,30 @@
                 });
                 let read =
                     if self.down { job::Event::LeaseUnread } else { job::Event::LeaseRead(row) };
-                self.send(way, Message::Back(host, life, Box::new(read)));
+                self.send(way, Message::Back(host, incarnation, Box::new(read)));
             }
             job::Effect::Probe { version, addr } => {
                 let at = usize::from(addr.port() - world::FIRST_PORT);
                 let lie = self.chance(self.faults.refused_probes);
                 let sign = match (self.hosts[at].engine.is_none() || lie, self.chance(500)) {
-                    (false, _) => job::Sign::Listens,
-                    (true, false) => job::Sign::Refused,
-                    (true, true) => job::Sign::Silent,
+                    (false, _) => job::ProbeResult::Listens,
+                    (true, false) => job::ProbeResult::Refused,
+                    (true, true) => job::ProbeResult::Silent,
                 };
                 let event = Box::new(job::Event::Probed { version, sign });
-                self.send(way, Message::Back(host, life, event));
+                self.send(way, Message::Back(host, incarnation, event));
             }
             job::Effect::Load => {
-                self.send(way, Message::Load(host, life));
+                self.send(way, Message::Load(host, incarnation));
             }
             job::Effect::Txn(number, txn) => {
                 if self.chance(self.faults.late_txns) {
                     let late = time::Duration::from_millis(self.rng.random_range(1_000..6_000));
-                    self.send(late, Message::Txn(host, life, number, txn, true));
-                    self.silent_txn(host, life, number);
+                    self.send(late, Message::Txn(host, incarnation, number, txn, true));
+                    self.silent_txn(host, incarnation, number);
                 } else {
                     let lost = self.chance(self.faults.lost_txns);
-                    self.send(way, Message::Txn(host, life, number, txn, lost));
+                    self.send(way, Message::Txn(host, incarnation, number, txn, lost));
                 }
             }
             job::Effect::Start(start) => {
@@ -51,13 +51,13 @@
                 let lost = late || self.chance(self.faults.lost_answers);
                 let late_ms = self.rng.random_range(2_000..12_000);
                 let way = if late { time::Duration::from_millis(late_ms) } else { way };
-                let message = Message::Start(host, life, start.clone(), lost, self.now);
+                let message = Message::Start(host, incarnation, start.clone(), lost, self.now);
                 self.send(way, message);
                 if lost {
                     let answer = job::StartAnswer::Silent;
                     let event = job::Event::Started { order: start.order, answer };
                     let after = time::Duration::from_millis(600);
-                    self.send(after, Message::Back(host, life, Box::new(event)));
+                    self.send(after, Message::Back(host, incarnation, Box::new(event)));
                 }
             }
             job::Effect::Stop(order) => {
@@ -66,32 +66,32 @@
                 let late = lost && self.rng.random_range(0..2) == 0;
                 if late {
                     let after = time::Duration::from_millis(late_ms);
-                    self.send(after, Message::Stop(host, life, order.clone(), true));
+                    self.send(after, Message::Stop(host, incarnation, order.clone(), true));
                 }
                 if lost {
-                    return self.stop_not_taken(host, life, order);
+                    return self.stop_not_taken(host, incarnation, order);
                 }
-                self.send(way, Message::Stop(host, life, order, false));
+                self.send(way, Message::Stop(host, incarnation, order, false));
             }
-            job::Effect::Look(look) => {
+            job::Effect::SendHeartbeat(heartbeat) => {
                 let lost = self.chance(self.faults.lost_answers);
-                let latest = self.now + way + look.wait;
-                self.send(way, Message::Look(host, life, look, latest, lost));
+                let latest = self.now + way + heartbeat.wait;
+                self.send(way, Message::Heartbeat(host, incarnation, heartbeat, latest, lost));
             }
             job::Effect::Pace(_) | job::Effect::Ask(_) | job::Effect::Drop(..) => {}
         }
     }
 
     /// Tells a host after a while that a stop had no answer.
-    pub(super) fn stop_not_taken(&mut self, host: usize, life: u64, order: job::Order) {
+    pub(super) fn stop_not_taken(&mut self, host: usize, incarnation: u64, order: job::Order) {
         let event = Box::new(job::Event::StopNotTaken(order));
-        self.send(time::Duration::from_millis(600), Message::Back(host, life, event));
+        self.send(time::Duration::from_millis(600), Message::Back(host, incarnation, event));
     }
 
     /// Tells a host after a while that its transaction had no answer.
-    pub(super) fn silent_txn(&mut self, host: usize, life: u64, number: u64) {
+    pub(super) fn silent_txn(&mut self, host: usize, incarnation: u64, number: u64) {
         let event = Box::new(job::Event::Txn { number, outcome: table::Outcome::Unknown });
-        self.send(time::Duration::from_millis(800), Message::Back(host, life, event));
+        self.send(time::Duration::from_millis(800), Message::Back(host, incarnation, event));
     }
 
     /// Returns the rows of the domain as a new holder reads them.
--- a/crates/stand-in/src/jobs/fault.rs
+++ b/crates/stand-in/src/jobs/fault.rs
@@ -23,9 +23,9 @@
     pub refused_probes: u32,
     /// Outages of the store for 4 s.
     pub outages: u32,
-    /// Workers that die in silence; a new life comes 4 s later.
+    /// Workers that die in silence; a new incarnation comes 4 s later.
     pub crashes: u32,
-    /// Workers whose entry goes while they serve on for 8 s; a new life comes then.
+    /// Workers whose entry goes while they serve on for 8 s; a new incarnation comes then.
     pub unlisted: u32,
     /// Workers that can't be reached for 7 s and run on.
     pub cuts: u32,
@@ -43,7 +43,7 @@
     pub late_culprits: u32,
     /// Workers that restart under their id, away for 20 to 1,500 ms.
     pub restarts: u32,
-    /// Workers that are lost for another reason and whose next life has their id, in thousandths.
+    /// Workers that are lost for another reason and whose next incarnation has their id, in thousandths.
     pub same_id: u32,
     /// Answers to looks and starts that take 100 to 600 ms more, in thousandths.
     pub slow_answers: u32,
--- a/crates/stand-in/src/jobs/mail.rs
+++ b/crates/stand-in/src/jobs/mail.rs
@@ -15,17 +15,17 @@
 /// A message on its way.
 #[derive(Debug)]
 pub(super) enum Message {
-    /// To the store, from a life of a host; answered unless the answer is lost.
+    /// To the store, from an incarnation of a host; answered unless the answer is lost.
     Txn(usize, u64, u64, table::Txn, bool),
     /// An order to start, answered unless the answer is lost.
     Start(usize, u64, job::Start, bool, time::Duration),
-    /// An order to stop, from a life of a host, and whether the answer is lost.
+    /// An order to stop, from an incarnation of a host, and whether the answer is lost.
     Stop(usize, u64, job::Order, bool),
     /// A look and when it must be answered at the latest.
-    Look(usize, u64, job::Look, time::Duration, bool),
-    /// A life of a host reads everything, and is told of every change from then on.
+    Heartbeat(usize, u64, job::Heartbeat, time::Duration, bool),
+    /// An incarnation of a host reads everything, and is told of every change from then on.
     Load(usize, u64),
-    /// Back to a life of a host.
+    /// Back to an incarnation of a host.
     Back(usize, u64, Box<job::Event>),
     /// A fault begins.
     Fault(fault::Fault),
@@ -33,7 +33,7 @@
     Mend(fault::Fault, usize),
     /// A worker crashes under a task that it has just started.
     Crash(usize, job::TaskId, u32),
-    /// Another life of a crashed worker takes its place.
+    /// Another incarnation of a crashed worker takes its place.
     Replace(usize),
     /// A worker starts again under its id.
     Restart(usize),
@@ -69,43 +69,43 @@
     /// Lets a message arrive.
     pub(super) fn deliver(&mut self, message: Message) {
         match message {
-            Message::Back(host, life, event) => {
-                if self.hosts[host].life == life {
+            Message::Back(host, incarnation, event) => {
+                if self.hosts[host].incarnation == incarnation {
                     self.step(host, *event);
                 }
             }
-            Message::Load(host, life) => {
-                if self.hosts[host].life == life {
+            Message::Load(host, incarnation) => {
+                if self.hosts[host].incarnation == incarnation {
                     let event = if self.down { job::Event::LoadFailed } else { self.loaded() };
                     self.step(host, job::Event::Listed(self.listed()));
                     self.load_closed(host);
                     self.step(host, event);
                 }
             }
-            Message::Txn(host, life, number, txn, lost) => {
+            Message::Txn(host, incarnation, number, txn, lost) => {
                 if self.down {
-                    return self.silent_txn(host, life, number);
+                    return self.silent_txn(host, incarnation, number);
                 }
                 let answer = self.rows.send(&txn);
                 if lost {
-                    return self.silent_txn(host, life, number);
+                    return self.silent_txn(host, incarnation, number);
                 }
                 let event = Box::new(job::Event::Txn { number, outcome: answer });
                 let way = self.way();
-                self.send(way, Message::Back(host, life, event));
+                self.send(way, Message::Back(host, incarnation, event));
             }
-            Message::Start(host, life, start, lost, ordered) => {
-                self.start(host, life, &start, lost, ordered);
+            Message::Start(host, incarnation, start, lost, ordered) => {
+                self.start(host, incarnation, &start, lost, ordered);
             }
-            Message::Stop(host, life, order, lost) => {
+            Message::Stop(host, incarnation, order, lost) => {
                 let now = self.now;
                 let taken = self.reach(&order.worker).map(|worker| worker.stop(&order, now));
                 if taken != Some(true) && !lost {
-                    self.stop_not_taken(host, life, order);
+                    self.stop_not_taken(host, incarnation, order);
                 }
             }
-            Message::Look(host, life, look, latest, lost) => {
-                self.look(host, life, look, latest, lost);
+            Message::Heartbeat(host, incarnation, heartbeat, latest, lost) => {
+                self.handle_heartbeat(host, incarnation, heartbeat, latest, lost);
             }
             Message::Fault(fault) => self.strike(fault),
             Message::Mend(fault, at) => self.mend(fault, at),
@@ -129,10 +129,10 @@
             self.tell_closed();
         }
         let up_to = self.now.saturating_sub(LONGEST_WAY);
-        let event = job::Event::Heard { up_to_ms: world::millis(up_to) };
+        let event = job::Event::JobsReadUpTo { up_to_ms: world::millis(up_to) };
         for host in 0..self.hosts.len() {
-            let life = self.hosts[host].life;
-            self.send(LONGEST_WAY, Message::Back(host, life, Box::new(event.clone())));
+            let incarnation = self.hosts[host].incarnation;
+            self.send(LONGEST_WAY, Message::Back(host, incarnation, Box::new(event.clone())));
         }
     }
 }
--- a/crates/stand-in/src/jobs/restart.rs
+++ b/crates/stand-in/src/jobs/restart.rs
@@ -1,7 +1,7 @@
 //! Workers that start again under the id that they had.
 //!
-//! The next life knows nothing of the one before: no run, no end, no fence, and its clock and its numbers of ends begin
-//! anew. What was sent to the last life may reach it, and answers of the last life may come after its own.
+//! The next incarnation knows nothing of the one before: no run, no end, no fence, and its clock and its numbers of ends begin
+//! anew. What was sent to the last incarnation may reach it, and answers of the last incarnation may come after its own.
 
 use std::time;
 
@@ -29,20 +29,21 @@
         self.restart_soon(at);
     }
 
-    /// Lets the next life of a worker come after a while.
+    /// Lets the next incarnation of a worker come after a while.
     pub(super) fn restart_soon(&mut self, at: usize) {
         let away = time::Duration::from_millis(self.rng.random_range(AWAY_MS));
         self.send(away, mail::Message::Restart(at));
     }
 
-    /// Lets the next life of a worker come, under the same id and at the same address.
+    /// Lets the next incarnation of a worker come, under the same id and at the same address.
     pub(super) fn start_again(&mut self, at: usize) {
         self.workers[at].listed = false;
-        let (life, hall) = (self.workers[at].life.clone(), self.workers[at].hall.clone());
-        if self.workers.iter().any(|found| found.alive && found.is_meant(&life)) {
+        let (incarnation, hall) =
+            (self.workers[at].incarnation.clone(), self.workers[at].hall.clone());
+        if self.workers.iter().any(|found| found.alive && found.is_meant(&incarnation)) {
             return;
         }
-        self.add_life(life.worker);
+        self.add_incarnation(incarnation.worker);
         let next = self.workers.len() - 1;
         self.workers[next].hall = hall;
         self.tell_member(next);
--- a/crates/stand-in/src/jobs/server.rs
+++ b/crates/stand-in/src/jobs/server.rs
@@ -8,7 +8,7 @@
 use hyper::StatusCode;
 use hyper::body;
 use wharflane::{clock, clock::Clock as _, id, job, rows as table, size};
-use wharflane_adapter::{config, entry, serve};
+use wharflane_adapter::{config, entry, server_codec};
 use wharflane_http::{reply, server};
 
 use super::{judge, rows, worker};
@@ -27,14 +27,14 @@
 pub const QUEUE: &str = "work";
 
 /// How the queue asks for advice, where it does.
-const TERMS: job::Terms = job::Terms {
+const TERMS: job::AdviceTiming = job::AdviceTiming {
     decide: time::Duration::from_millis(50),
     each: time::Duration::from_millis(1),
     valid: time::Duration::from_millis(900),
 };
 
 /// Returns the ticket for a step on a worker.
-fn ticket(step: &str, worker: &id::Life) -> String {
+fn ticket(step: &str, worker: &id::Incarnation) -> String {
     format!("{step} on {}", worker.worker)
 }
 
@@ -155,15 +155,15 @@
             objective_ms: 1_000,
         };
         let queues = job::Queues { revision, queues: [(QUEUE.to_owned(), queue)].into() };
-        self.write(config::OPERATOR_TABLE, config::CONFIG_KEY, serve::config(&queues));
+        self.write(config::OPERATOR_TABLE, config::CONFIG_KEY, server_codec::config(&queues));
     }
 
     /// Restarts a worker under its id and at its address; it knows nothing of before.
     pub fn restart_worker(&self, at: usize) {
         let mut state = self.lock();
-        let worker = state.workers[at].life.worker.clone();
-        let life = id::Life { worker, born_ms: Some(self.now_ms()) };
-        state.workers[at] = worker::Worker::new(life, ROOM, 1_000);
+        let worker = state.workers[at].incarnation.worker.clone();
+        let incarnation = id::Incarnation { worker, born_ms: Some(self.now_ms()) };
+        state.workers[at] = worker::Worker::new(incarnation, ROOM, 1_000);
         drop(state);
         self.list_worker(at);
     }
@@ -173,7 +173,7 @@
         let member = {
             let state = self.lock();
             job::Member {
-                life: state.workers[at].life.clone(),
+                incarnation: state.workers[at].incarnation.clone(),
                 addr: state.addrs[at],
                 hall: "hall".into(),
                 service: "service".into(),
@@ -183,7 +183,11 @@
                 rack: None,
             }
         };
-        self.write(entry::WORKERS_TABLE, member.life.worker.as_str(), serve::member(&member));
+        self.write(
+            entry::WORKERS_TABLE,
+            member.incarnation.worker.as_str(),
+            server_codec::member(&member),
+        );
     }
 
     /// Adds a worker and lists it.
@@ -193,8 +197,8 @@
         let at = {
             let mut state = self.lock();
             let worker = format!("w{}", state.workers.len()).as_str().into();
-            let life = id::Life { worker, born_ms: Some(self.now_ms()) };
-            state.workers.push(worker::Worker::new(life, ROOM, 1_000));
+            let incarnation = id::Incarnation { worker, born_ms: Some(self.now_ms()) };
+            state.workers.push(worker::Worker::new(incarnation, ROOM, 1_000));
             state.addrs.push(addr);
             state.workers.len() - 1
         };
@@ -207,7 +211,7 @@
 
     /// Writes a row of the platform's own.
     fn write(&self, table: &'static str, name: &str, value: String) {
-        let part = config::THEIR_PART.to_owned();
+        let part = config::EXTERNAL_PART.to_owned();
         self.write_row(table::Key { table, part, name: name.to_owned() }, Some(value));
     }
 
@@ -236,21 +240,22 @@
         let path = request.uri().path().to_owned();
         let query = request.uri().query().unwrap_or_default().to_owned();
         let read = server::read_body(request.into_body(), MAX_BODY_BYTES, BODY_TIMEOUT).await;
-        let call = read.ok().and_then(|body| serve::store_call(&path, &query, &body));
+        let call = read.ok().and_then(|body| server_codec::store_call(&path, &query, &body));
         let Some(call) = call else {
             return reply::problem(StatusCode::BAD_REQUEST, "call", "no such call");
         };
         let faults = self.lock().faults;
         if faults.store_silent {
-            self.lock().unanswered += u64::from(matches!(call, serve::StoreCall::Transact(_)));
+            self.lock().unanswered +=
+                u64::from(matches!(call, server_codec::StoreCall::Transact(_)));
             std::future::pending::<()>().await;
         }
         if faults.store_busy {
             return reply::problem(StatusCode::SERVICE_UNAVAILABLE, "busy", "busy");
         }
         match call {
-            serve::StoreCall::Transact(txn) => self.transact(&txn).await,
-            serve::StoreCall::Get { table, part, from, end, limit } => {
+            server_codec::StoreCall::Transact(txn) => self.transact(&txn).await,
+            server_codec::StoreCall::Get { table, part, from, end, limit } => {
                 let state = self.lock();
                 let mut rows = state.rows.all(table, &part);
                 rows.retain(|row| row.name >= from && (end.is_empty() || row.name < end));
@@ -258,9 +263,11 @@
                 rows.truncate(limit);
                 let version = state.rows.version();
                 let now_ms = Some(self.now_ms());
-                serve::page(&table::Page { rows, more, version, now_ms })
+                server_codec::page(&table::Page { rows, more, version, now_ms })
+            }
+            server_codec::StoreCall::Feed { table, after, wait } => {
+                self.feed(table, after, wait).await
             }
-            serve::StoreCall::Feed { table, after, wait } => self.feed(table, after, wait).await,
         }
     }
 
@@ -279,7 +286,7 @@
         if lost {
             std::future::pending::<()>().await;
         }
-        serve::transacted(&answer, self.now_ms())
+        server_codec::txn_answer(&answer, self.now_ms())
     }
 
     /// Waits for changes of a table.
@@ -290,9 +297,9 @@
             let now_ms = Some(self.now_ms());
             let changes = self.lock().rows.changes(table, after);
             match changes {
-                table::Changes::Forgotten => return serve::forgotten(),
+                table::Changes::Forgotten => return server_codec::history_gone(),
                 table::Changes::Rows(page) if !page.rows.is_empty() || self.clock.now() >= end => {
-                    return serve::page(&table::Page { now_ms, ..page });
+                    return server_codec::page(&table::Page { now_ms, ..page });
                 }
                 table::Changes::Rows(_) => tokio::time::sleep(POLL).await,
             }
@@ -302,7 +309,7 @@
     /// Answers a question about the workers of a step.
     async fn serve_advice(self, request: hyper::Request<body::Incoming>) -> reply::Reply {
         let read = server::read_body(request.into_body(), MAX_BODY_BYTES, BODY_TIMEOUT).await;
-        let Some((step, workers)) = read.ok().and_then(|body| serve::question(&body)) else {
+        let Some((step, workers)) = read.ok().and_then(|body| server_codec::question(&body)) else {
             return reply::problem(StatusCode::BAD_REQUEST, "question", "no such question");
         };
         tokio::time::sleep(TERMS.decide).await;
@@ -316,7 +323,7 @@
             let ticket = ticket(&step, &worker);
             (worker, ticket)
         });
-        serve::advice(&job::Advice { good: good.collect(), valid: TERMS.valid })
+        server_codec::advice(&job::Advice { good: good.collect(), valid: TERMS.valid })
     }
 
     /// Answers a call of a worker.
@@ -329,18 +336,21 @@
         let headers = request.headers().clone();
         let read = server::read_body(request.into_body(), MAX_BODY_BYTES, BODY_TIMEOUT).await;
         let addr = self.lock().addrs[at];
-        let call = read.ok().and_then(|body| serve::worker_call(&path, &headers, addr, &body));
+        let call =
+            read.ok().and_then(|body| server_codec::worker_call(&path, &headers, addr, &body));
         match call {
-            Some(serve::WorkerCall::Start(start)) => self.order(at, &start),
-            Some(serve::WorkerCall::Stop(order)) => {
+            Some(server_codec::WorkerCall::Start(start)) => self.order(at, &start),
+            Some(server_codec::WorkerCall::Stop(order)) => {
                 let now = self.clock.now();
                 let mut state = self.lock();
                 state.workers[at].stop(&order, now);
-                serve::done(state.workers[at].clock_ms(now))
+                server_codec::order_done(state.workers[at].clock_ms(now))
+            }
+            Some(server_codec::WorkerCall::Heartbeat(heartbeat)) => {
+                self.handle_heartbeat(at, &heartbeat).await
             }
-            Some(serve::WorkerCall::Look(look)) => self.look(at, &look).await,
-            Some(serve::WorkerCall::Pace(_)) => {
-                serve::done(self.lock().workers[at].clock_ms(self.clock.now()))
+            Some(server_codec::WorkerCall::Pace(_)) => {
+                server_codec::order_done(self.lock().workers[at].clock_ms(self.clock.now()))
             }
             None => reply::problem(StatusCode::BAD_REQUEST, "call", "no such call"),
         }
@@ -356,7 +366,7 @@
             || at.is_multiple_of(2) && start.ticket == ticket(&group, &start.order.worker);
         if !allowed {
             let answer = job::StartAnswer::Refused(job::StartRefusal::Ticket);
-            return serve::started(answer, state.workers[at].clock_ms(now));
+            return server_codec::start_answer(answer, state.workers[at].clock_ms(now));
         }
         let step = state.judge.jobs.get(&task.job).and_then(|job| job.step(task.step)).cloned();
         let step = step.unwrap_or_default();
@@ -367,25 +377,25 @@
             let State { workers, judge, .. } = &mut *state;
             judge.started(task, ATTEMPTS, false, workers);
         }
-        serve::started(answer, state.workers[at].clock_ms(now))
+        server_codec::start_answer(answer, state.workers[at].clock_ms(now))
     }
 
     /// Answers a look once there is an end or its wait is over.
-    async fn look(&self, at: usize, look: &job::Look) -> reply::Reply {
-        let end = self.clock.now() + look.wait;
+    async fn handle_heartbeat(&self, at: usize, heartbeat: &job::Heartbeat) -> reply::Reply {
+        let end = self.clock.now() + heartbeat.wait;
         loop {
             let now = self.clock.now();
             {
                 let mut state = self.lock();
                 let State { workers, judge, .. } = &mut *state;
                 let worker = &mut workers[at];
-                if worker.is_meant(&look.worker) {
-                    judge.acknowledged(worker.ended(), look.seen, worker.stale);
+                if worker.is_meant(&heartbeat.worker) {
+                    judge.acknowledged(worker.ended(), heartbeat.seen, worker.stale);
                 }
-                let answer = worker.look(look, now);
-                let quiet = matches!(&answer, job::LookAnswer::Lists(l) if l.ended.is_empty());
+                let answer = worker.handle_heartbeat(heartbeat, now);
+                let quiet = matches!(&answer, job::HeartbeatAnswer::Lists(l) if l.ended.is_empty());
                 if !quiet || now >= end {
-                    return serve::looked(&answer, worker.clock_ms(now));
+                    return server_codec::heartbeat_answer(&answer, worker.clock_ms(now));
                 }
             }
             tokio::time::sleep(POLL).await;
--- a/crates/stand-in/src/jobs/strike.rs
+++ b/crates/stand-in/src/jobs/strike.rs
@@ -44,7 +44,7 @@
             fault::Fault::Close => {}
             fault::Fault::Kill | fault::Fault::Remove => {
                 self.hosts[at].engine = None;
-                self.hosts[at].life += 1;
+                self.hosts[at].incarnation += 1;
             }
             fault::Fault::Freeze | fault::Fault::Suspend => self.hosts[at].frozen = true,
             fault::Fault::Outage => self.down = true,
@@ -130,11 +130,11 @@
     pub(super) fn tell_member(&mut self, at: usize) {
         let worker = &self.workers[at];
         let entry = worker.listed.then(|| world::member(worker));
-        let event = job::Event::Member(worker.life.worker.clone(), entry);
+        let event = job::Event::Member(worker.incarnation.worker.clone(), entry);
         for host in 0..self.hosts.len() {
-            let life = self.hosts[host].life;
+            let incarnation = self.hosts[host].incarnation;
             let way = self.way();
-            self.send(way, mail::Message::Back(host, life, Box::new(event.clone())));
+            self.send(way, mail::Message::Back(host, incarnation, Box::new(event.clone())));
         }
     }
 }
--- a/crates/stand-in/src/jobs/worker.rs
+++ b/crates/stand-in/src/jobs/worker.rs
@@ -30,18 +30,18 @@
     size: size::Size,
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// This life.
-    pub life: id::Life,
+    /// This incarnation.
+    pub incarnation: id::Incarnation,
     /// Whether it lives.
     pub alive: bool,
     /// Whether it can be reached.
     pub reachable: bool,
     /// Whether the store lists it.
     pub listed: bool,
-    /// Whether another life answers at its address.
+    /// Whether another incarnation answers at its address.
     pub replaced: bool,
     /// When it was out of reach last.
     pub cut: time::Duration,
@@ -92,9 +92,9 @@
 impl Worker {
     /// Makes a worker with nothing on it.
     #[must_use]
-    pub fn new(life: id::Life, capacity: size::Size, clock_milli: u32) -> Self {
+    pub fn new(incarnation: id::Incarnation, capacity: size::Size, clock_milli: u32) -> Self {
         Self {
-            life,
+            incarnation,
             alive: true,
             reachable: true,
             listed: true,
@@ -118,10 +118,10 @@
         }
     }
 
-    /// Returns whether an order or a look means this worker: they name it by the id, which its lives share.
+    /// Returns whether an order or a look means this worker: they name it by the id, which its incarnations share.
     #[must_use]
-    pub fn is_meant(&self, life: &id::Life) -> bool {
-        life.worker == self.life.worker
+    pub fn is_meant(&self, incarnation: &id::Incarnation) -> bool {
+        incarnation.worker == self.incarnation.worker
     }
 
     /// Returns what its clock shows.
@@ -212,26 +212,30 @@
     }
 
     /// Answers a look.
-    pub fn look(&mut self, look: &job::Look, now: time::Duration) -> job::LookAnswer {
-        if !self.is_meant(&look.worker) {
-            return job::LookAnswer::Gone;
+    pub fn handle_heartbeat(
+        &mut self,
+        heartbeat: &job::Heartbeat,
+        now: time::Duration,
+    ) -> job::HeartbeatAnswer {
+        if !self.is_meant(&heartbeat.worker) {
+            return job::HeartbeatAnswer::Gone;
         }
-        if look.epoch < self.epoch {
-            return job::LookAnswer::Fenced;
+        if heartbeat.epoch < self.epoch {
+            return job::HeartbeatAnswer::Fenced;
         }
-        self.epoch = look.epoch;
-        if let Some(lease_until_ms) = look.lease_until_ms {
+        self.epoch = heartbeat.epoch;
+        if let Some(lease_until_ms) = heartbeat.lease_until_ms {
             self.extend(lease_until_ms, now);
         }
-        self.ended.retain(|ended| ended.number > look.seen);
+        self.ended.retain(|ended| ended.number > heartbeat.seen);
         let running = self.runs.iter().map(|(task, run)| job::Running {
             task: *task,
             run: run.run,
             percent: 50,
             load: 0,
         });
-        job::LookAnswer::Lists(job::Lists {
-            born_ms: self.life.born_ms,
+        job::HeartbeatAnswer::Lists(job::Lists {
+            born_ms: self.incarnation.born_ms,
             clock_ms: self.clock_ms(now),
             running: running.collect(),
             ended: self.ended.clone(),
--- a/crates/stand-in/src/jobs/world.rs
+++ b/crates/stand-in/src/jobs/world.rs
@@ -22,7 +22,7 @@
 pub(super) const ATTEMPTS: u32 = 3;
 /// The name of the only queue.
 pub(super) const QUEUE: &str = "queue";
-/// When lives that are there from the beginning were born, in milliseconds since 1970.
+/// When incarnations that are there from the beginning were born, in milliseconds since 1970.
 const FIRST_BORN_MS: u64 = 1_700_000_000_000;
 /// The port of the first host.
 pub(super) const FIRST_PORT: u16 = 7_000;
@@ -39,7 +39,7 @@
     /// The engine, while the host lives.
     pub(super) engine: Option<job::Engine>,
     /// Grows with every start.
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     /// Whether it stands still.
     pub(super) frozen: bool,
     /// What came meanwhile.
@@ -61,7 +61,7 @@
     pub rows: rows::Rows,
     /// Whether the store is down.
     pub(super) down: bool,
-    /// The workers, dead lives among them.
+    /// The workers, dead incarnations among them.
     pub workers: Vec<worker::Worker>,
     /// What is on its way, by arrival.
     pub(super) mail: collections::BTreeMap<(time::Duration, u64), Message>,
@@ -204,15 +204,15 @@
 
     /// Adds a worker under a new id.
     pub(super) fn add_worker(&mut self) {
-        self.add_life(format!("w{}", self.workers.len()).as_str().into());
+        self.add_incarnation(format!("w{}", self.workers.len()).as_str().into());
     }
 
-    /// Adds a life of a worker, which knows nothing of any before.
-    pub(super) fn add_life(&mut self, id: id::WorkerId) {
+    /// Adds an incarnation of a worker, which knows nothing of any before.
+    pub(super) fn add_incarnation(&mut self, id: id::WorkerId) {
         let clock_milli = self.rng.random_range(980..=1_000);
         let born_ms = Some(FIRST_BORN_MS + millis(self.now));
-        let life = id::Life { worker: id, born_ms };
-        let mut worker = worker::Worker::new(life, strike::ROOM, clock_milli);
+        let incarnation = id::Incarnation { worker: id, born_ms };
+        let mut worker = worker::Worker::new(incarnation, strike::ROOM, clock_milli);
         worker.guards = self.faults.shrinks == 0;
         worker.hall = closing::hall_of(self.workers.len());
         self.workers.push(worker);
@@ -241,7 +241,7 @@
         engine.step(self.now, job::Event::Queues(sync::Arc::new(queues)));
         let host = &mut self.hosts[host];
         host.engine = Some(engine);
-        host.life += 1;
+        host.incarnation += 1;
         host.frozen = false;
         host.inbox.clear();
     }
@@ -259,9 +259,9 @@
             }
             return;
         }
-        let life = state.life;
+        let incarnation = state.incarnation;
         for effect in engine.step(now, event) {
-            self.carry_out(host, life, effect);
+            self.carry_out(host, incarnation, effect);
         }
     }
 
@@ -282,10 +282,10 @@
         }
     }
 
-    /// Returns the worker that an order reaches: whichever life has the id, if it can be reached.
-    pub(super) fn reach(&mut self, life: &id::Life) -> Option<&mut worker::Worker> {
+    /// Returns the worker that an order reaches: whichever incarnation has the id, if it can be reached.
+    pub(super) fn reach(&mut self, incarnation: &id::Incarnation) -> Option<&mut worker::Worker> {
         let mut alive = self.workers.iter_mut().filter(|worker| worker.alive && worker.reachable);
-        alive.find(|worker| worker.is_meant(life))
+        alive.find(|worker| worker.is_meant(incarnation))
     }
 }
 
@@ -297,7 +297,7 @@
 /// Returns how a worker is listed.
 pub(super) fn member(worker: &worker::Worker) -> job::Member {
     job::Member {
-        life: worker.life.clone(),
+        incarnation: worker.incarnation.clone(),
         addr: ([127, 0, 0, 1], 1).into(),
         hall: worker.hall.clone(),
         service: "service".into(),
@@ -319,15 +319,15 @@
         addr: None,
         probe: millis(500),
         silence: millis(1_200),
-        handicap: millis(0),
+        takeover_delay: millis(0),
         poll: millis(300),
         commit: millis(20),
         renew: millis(700),
-        hold: millis(4_000),
-        hold_max: worker::HOLD_MAX,
+        task_lease: millis(4_000),
+        task_lease_max: worker::HOLD_MAX,
         stop: millis(900),
-        look: millis(1_000),
-        look_idle: millis(4_000),
+        heartbeat_wait: millis(1_000),
+        idle_heartbeat_gap: millis(4_000),
         keep: millis(120_000),
         closed_wait: millis(5_000),
         link_bytes_per_s: None,
--- a/crates/stand-in/src/world.rs
+++ b/crates/stand-in/src/world.rs
@@ -32,9 +32,9 @@
 /// A message on its way.
 #[derive(Debug)]
 enum Message {
-    /// To the store or a worker, from a life of a host.
+    /// To the store or a worker, from an incarnation of a host.
     Out(usize, u64, hall::Effect),
-    /// Back to a life of a host.
+    /// Back to an incarnation of a host.
     Back(usize, u64, Box<hall::Event>),
 }
 
@@ -46,7 +46,7 @@
     /// The engine, while the host lives.
     engine: Option<hall::Engine>,
     /// Grows with every start.
-    life: u64,
+    incarnation: u64,
     /// Whether it is frozen: it neither works nor hears.
     frozen: bool,
     /// What came while it was frozen.
@@ -167,7 +167,7 @@
     pub fn apply(&mut self, text: &str) {
         let mut desired = desired::parse(text).unwrap_or_else(|faults| panic!("{faults:?}"));
         let revision = self.current.revision + 1;
-        desired::succeed(&self.current.desired, &mut desired, revision)
+        desired::check_update(&self.current.desired, &mut desired, revision)
             .unwrap_or_else(|faults| panic!("{faults:?}"));
         self.current = sync::Arc::new(hall::Current { revision, desired });
         let holder = self.holder();
@@ -222,7 +222,7 @@
     pub fn kill(&mut self, at: usize) {
         self.hosts[at].engine = None;
         self.hosts[at].inbox.clear();
-        self.hosts[at].life += 1;
+        self.hosts[at].incarnation += 1;
     }
 
     /// Starts every host that is dead.
@@ -287,7 +287,7 @@
         self.hosts.push(Host {
             name,
             engine: None,
-            life: 0,
+            incarnation: 0,
             frozen: false,
             inbox: Vec::new(),
             restart: None,
@@ -299,9 +299,9 @@
     /// Starts a host.
     fn start(&mut self, at: usize) {
         let host = &mut self.hosts[at];
-        host.life += 1;
+        host.incarnation += 1;
         host.restart = None;
-        let nonce = host.life;
+        let nonce = host.incarnation;
         let lags = self.config_lags;
         let engine = hall::Engine::new(HALL.into(), host.name.clone(), self.settings, nonce);
         host.engine = Some(engine);
@@ -363,10 +363,10 @@
         self.writes += usize::from(is_write);
         let dies_before = is_write && self.kill_at == Some(KillAt::Before(self.writes));
         let dies_after = is_write && self.kill_at == Some(KillAt::After(self.writes));
-        let life = self.hosts[at].life;
+        let incarnation = self.hosts[at].incarnation;
         if !dies_before {
             let way = self.way(&effect);
-            self.post(way, Message::Out(at, life, effect));
+            self.post(way, Message::Out(at, incarnation, effect));
         }
         if dies_before || dies_after {
             self.kill_at = None;
@@ -399,14 +399,14 @@
                 break;
             }
             match entry.remove() {
-                Message::Out(at, life, effect) => {
+                Message::Out(at, incarnation, effect) => {
                     if let Some(event) = self.carry_out(at, &effect) {
                         let way = self.way(&effect);
-                        self.post(way, Message::Back(at, life, Box::new(event)));
+                        self.post(way, Message::Back(at, incarnation, Box::new(event)));
                     }
                 }
-                Message::Back(at, life, event) => {
-                    if self.hosts[at].life == life {
+                Message::Back(at, incarnation, event) => {
+                    if self.hosts[at].incarnation == incarnation {
                         self.tell(at, *event);
                     }
                 }
@@ -467,7 +467,7 @@
         }
     }
 
-    /// Sends an old message of a worker's life again, as a network might.
+    /// Sends an old message of a worker's incarnation again, as a network might.
     pub fn replay(&mut self, sync: &work::Sync) -> Option<work::Answer> {
         let now = self.now;
         Some(self.machines.get_mut(&sync.worker)?.sync(now, sync))
--- a/crates/stand-in/tests/crashing_tasks.rs
+++ b/crates/stand-in/tests/crashing_tasks.rs
@@ -1,7 +1,7 @@
 //! Tasks that crash each worker that starts them, in virtual time.
 //!
 //! Seen: two tasks were started some 30 times each; every worker that started one was down 10 ms later, with all that
-//! ran there, and came back as another life after 2 s. The holder freed what had been there and put it up
+//! ran there, and came back as another incarnation after 2 s. The holder freed what had been there and put it up
 //! again at once, since only ends that a worker tells counted as attempts, and a worker that crashes tells
 //! none. That was proved by these worlds: without any change of the holder, without lost or late orders, tasks are
 //! started without end.
--- a/crates/stand-in/tests/restarts.rs
+++ b/crates/stand-in/tests/restarts.rs
@@ -1,8 +1,8 @@
 //! Workers that start again under the id that they had, in virtual time.
 //!
 //! Seen: 17 of 48 workers restarted within half a second. From then on tasks that had come to their end were started
-//! again and again, on one worker after the other. A new life numbers its ends from one, and its first ends bear numbers
-//! that the holder had heard from the life before: they were dropped. All that is known of a worker is kept under its life since.
+//! again and again, on one worker after the other. A new incarnation numbers its ends from one, and its first ends bear numbers
+//! that the holder had heard from the incarnation before: they were dropped. All that is known of a worker is kept under its incarnation since.
 
 use wharflane_stand_in::cases;
 use wharflane_stand_in::jobs::world;
--- a/crates/wharflane/src/desired.rs
+++ b/crates/wharflane/src/desired.rs
@@ -151,7 +151,7 @@
 }
 
 /// Checks a new desired state against the one before, and returns the faults and the birth marks.
-pub fn succeed(
+pub fn check_update(
     before: &Desired,
     after: &mut Desired,
     revision: u64,
@@ -196,7 +196,11 @@
 
 /// Returns the hall that owns a task of a job: the same for everyone, whatever else changes.
 #[must_use]
-pub fn hall_of<'a>(halls: &'a [id::HallId], name: &str, index: u32) -> Option<&'a id::HallId> {
+pub fn assigned_hall<'a>(
+    halls: &'a [id::HallId],
+    name: &str,
+    index: u32,
+) -> Option<&'a id::HallId> {
     if halls.is_empty() {
         return None;
     }
--- a/crates/wharflane/src/digest.rs
+++ b/crates/wharflane/src/digest.rs
@@ -12,12 +12,12 @@
     /// The hall.
     pub hall: id::HallId,
     /// The endpoints that missed their target or failed, the slowest first.
-    pub endpoints: Vec<Seen>,
+    pub endpoints: Vec<EndpointStats>,
 }
 
 /// What one host saw of one endpoint during one interval.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct EndpointStats {
     /// The task.
     pub task: id::TaskId,
     /// Requests under way now.
--- a/crates/wharflane/src/hall/cost.rs
+++ b/crates/wharflane/src/hall/cost.rs
@@ -6,7 +6,7 @@
 use super::slot;
 use super::spec;
 use crate::id;
-use crate::interfere;
+use crate::interference;
 
 /// How much the time that a throttled task loses weighs against a missed target.
 const SLOWED_WEIGHT: f64 = 0.5;
@@ -21,7 +21,7 @@
         let mut services: Vec<&str> = services.map(|spec| spec.owner.as_str()).collect();
         if spec.batch() {
             let share = f64::from(percent) / f64::from(slot::WHOLE_PERCENT);
-            beside.push(interfere::JobShare { job: &spec.owner, share });
+            beside.push(interference::JobShare { job: &spec.owner, share });
         } else {
             services.push(&spec.owner);
         }
@@ -31,7 +31,7 @@
 
     /// Returns the greatest share of speed at which a task is expected to leave targets kept.
     pub(super) fn first_percent(&self, slot: &slot::Slot, spec: &spec::Spec) -> u8 {
-        let steps = self.settings.patience.steps;
+        let steps = self.settings.throttle_policy.steps;
         let kept = |percent: &u8| self.expected(slot, spec, *percent) <= 0.0;
         if !spec.batch() || kept(&slot::WHOLE_PERCENT) {
             return slot::WHOLE_PERCENT;
@@ -66,7 +66,9 @@
 }
 
 /// Returns the batch tasks among the owners on a worker.
-pub(super) fn job_shares(owners: &[slot::Owner]) -> Vec<interfere::JobShare<'_>> {
+pub(super) fn job_shares(owners: &[slot::Owner]) -> Vec<interference::JobShare<'_>> {
     let batch = owners.iter().filter(|owner| owner.spec.batch());
-    batch.map(|owner| interfere::JobShare { job: &owner.spec.owner, share: owner.share }).collect()
+    batch
+        .map(|owner| interference::JobShare { job: &owner.spec.owner, share: owner.share })
+        .collect()
 }
--- a/crates/wharflane/src/hall/disturb.rs
+++ b/crates/wharflane/src/hall/disturb.rs
@@ -9,7 +9,7 @@
 use super::slot;
 use crate::digest;
 use crate::id;
-use crate::interfere;
+use crate::interference;
 use crate::task_table;
 
 /// The fewest answers in an interval that say anything about latency.
@@ -34,7 +34,7 @@
     }
 
     /// Notes by how much an endpoint missed its target.
-    fn note_seen(&mut self, seen: &digest::Seen) {
+    fn note_seen(&mut self, seen: &digest::EndpointStats) {
         let Some(target_ms) = self.wanted.get(&seen.task).and_then(|s| s.latency_target_ms) else {
             return;
         };
@@ -44,9 +44,9 @@
         };
         let missed = seen.p95_us as f64 / (target_ms as f64 * 1_000.0) - 1.0;
         if let Some(view) = self.views.get_mut(worker) {
-            let worst = view.life.missed.as_ref().is_none_or(|(_, before)| missed > *before);
+            let worst = view.incarnation.missed.as_ref().is_none_or(|(_, before)| missed > *before);
             if missed > 0.0 && worst {
-                view.life.missed = Some((seen.task.clone(), missed));
+                view.incarnation.missed = Some((seen.task.clone(), missed));
             }
         }
     }
@@ -65,7 +65,8 @@
 
     /// Looks at one worker.
     fn look_at(&mut self, now: time::Duration, worker: &id::WorkerId) {
-        let Some(missed) = self.views.get_mut(worker).map(|view| view.life.missed.take()) else {
+        let Some(missed) = self.views.get_mut(worker).map(|view| view.incarnation.missed.take())
+        else {
             return;
         };
         self.forget_throttles(worker);
@@ -82,17 +83,17 @@
             Some((task, _)) => self.candidates(now, worker, task),
             None => Vec::new(),
         };
-        let patience = self.settings.patience;
+        let patience = self.settings.throttle_policy;
         let Some(view) = self.views.get_mut(worker) else {
             return;
         };
-        view.life.tracker.note(missed.is_some());
-        match view.life.tracker.next_action(candidates, &patience, now) {
-            interfere::Action::Wait => self.loosen(now, worker, &patience),
-            interfere::Action::Throttle(task, percent) => {
+        view.incarnation.tracker.note(missed.is_some());
+        match view.incarnation.tracker.next_action(candidates, &patience, now) {
+            interference::Action::Wait => self.loosen(now, worker, &patience),
+            interference::Action::Throttle(task, percent) => {
                 self.throttle(now, worker, task, percent);
             }
-            interfere::Action::Evict(task) => {
+            interference::Action::Evict(task) => {
                 if let Some(entry) = self.task_table.get(&task) {
                     let record = plan::evict(&task, entry, task_table::Cause::Harm);
                     self.propose(now, record);
@@ -110,7 +111,7 @@
         let here = |task: &id::TaskId| {
             task_table.get(task).is_some_and(|entry| entry.state.worker() == Some(worker))
         };
-        view.life.throttles.retain(|task, _| here(task));
+        view.incarnation.throttles.retain(|task, _| here(task));
     }
 
     /// Returns the batch tasks beside a disturbed service task.
@@ -119,7 +120,7 @@
         now: time::Duration,
         worker: &id::WorkerId,
         service: &id::TaskId,
-    ) -> Vec<interfere::Candidate<id::TaskId>> {
+    ) -> Vec<interference::Candidate<id::TaskId>> {
         let slots = self.slots(now);
         let placed = self.task_table.on(worker).filter(|(task, entry)| {
             let here = matches!(entry.state, task_table::State::Placed { .. });
@@ -129,7 +130,7 @@
             let spec = self.wanted.get(task)?;
             let elsewhere = slots.iter().filter(|slot| slot.worker != *worker);
             let mut room = elsewhere.filter(|slot| entry.size.fits(&slot.free()));
-            Some(interfere::Candidate {
+            Some(interference::Candidate {
                 task: task.clone(),
                 harm: self.harms.harm(&service.owner, &task.owner),
                 percent: self.percent(worker, task),
@@ -142,7 +143,7 @@
 
     /// Returns the share of its processors that a task has.
     pub(super) fn percent(&self, worker: &id::WorkerId, task: &id::TaskId) -> u8 {
-        let throttles = self.views.get(worker).map(|view| &view.life.throttles);
+        let throttles = self.views.get(worker).map(|view| &view.incarnation.throttles);
         throttles.and_then(|all| all.get(task)).copied().unwrap_or(slot::WHOLE_PERCENT)
     }
 
@@ -155,7 +156,7 @@
         percent: u8,
     ) {
         if let Some(view) = self.views.get_mut(worker) {
-            view.life.throttles.insert(task.clone(), percent);
+            view.incarnation.throttles.insert(task.clone(), percent);
             view.news = true;
             self.counters.throttled += 1;
             self.decided(now, task, holding::Action::Throttled { percent });
@@ -167,17 +168,18 @@
         &mut self,
         now: time::Duration,
         worker: &id::WorkerId,
-        patience: &interfere::Patience,
+        patience: &interference::ThrottlePolicy,
     ) {
         let Some(view) = self.views.get_mut(worker) else {
             return;
         };
-        let Some((task, _)) = view.life.throttles.iter().find(|(_, p)| **p < slot::WHOLE_PERCENT)
+        let Some((task, _)) =
+            view.incarnation.throttles.iter().find(|(_, p)| **p < slot::WHOLE_PERCENT)
         else {
             return;
         };
         let task = task.clone();
-        if view.life.tracker.may_loosen(patience) {
+        if view.incarnation.tracker.may_loosen(patience) {
             self.throttle(now, worker, task, slot::WHOLE_PERCENT);
         }
     }
--- a/crates/wharflane/src/hall/holding.rs
+++ b/crates/wharflane/src/hall/holding.rs
@@ -12,7 +12,7 @@
 use crate::commit;
 use crate::endpoints;
 use crate::id;
-use crate::interfere;
+use crate::interference;
 use crate::lease;
 use crate::members;
 use crate::platform;
@@ -121,7 +121,7 @@
     /// The processors that a task of each owner was seen to use, in thousandths of a core.
     pub(super) uses: collections::BTreeMap<String, f64>,
     /// The learned harm of pairs.
-    pub(super) harms: interfere::Harms,
+    pub(super) harms: interference::Model,
     /// The endpoints told to the hosts.
     pub(super) table: endpoints::Table,
     /// Whether anything has changed that the table is made of.
@@ -184,7 +184,7 @@
             blocked: collections::BTreeMap::new(),
             promised: collections::BTreeMap::new(),
             uses: collections::BTreeMap::new(),
-            harms: interfere::Harms::default(),
+            harms: interference::Model::default(),
             table,
             table_changed: true,
             looked: now,
@@ -273,10 +273,10 @@
         now: time::Duration,
     ) -> collections::BTreeMap<&id::WorkerId, super::WorkerDump> {
         let dump = |worker: &id::WorkerId, view: &view::View| super::WorkerDump {
-            capacity: view.life.capacity,
+            capacity: view.incarnation.capacity,
             used: self.task_table.used(worker),
-            report_age_ms: view.life.reported.map(|at| now.saturating_sub(at).as_millis()),
-            failures_in_row: view.life.failures_in_row,
+            report_age_ms: view.incarnation.reported.map(|at| now.saturating_sub(at).as_millis()),
+            failures_in_row: view.incarnation.failures_in_row,
         };
         self.views.iter().map(|(worker, view)| (worker, dump(worker, view))).collect()
     }
--- a/crates/wharflane/src/hall/mod.rs
+++ b/crates/wharflane/src/hall/mod.rs
@@ -22,10 +22,10 @@
 use crate::digest;
 use crate::endpoints;
 use crate::id;
-use crate::interfere;
+use crate::interference;
 use crate::lease;
 use crate::members;
-use crate::place;
+use crate::placement;
 use crate::platform;
 use crate::rendezvous;
 use crate::work;
@@ -57,9 +57,9 @@
     /// The number of commits between two snapshots.
     pub snapshot_every: u64,
     /// How patient the holder is with a disturbance.
-    pub patience: interfere::Patience,
+    pub throttle_policy: interference::ThrottlePolicy,
     /// How the concerns of placement weigh.
-    pub weights: place::Weights,
+    pub weights: placement::Weights,
 }
 
 impl Default for Settings {
@@ -76,8 +76,8 @@
             authority: secs(1_800),
             drain: secs(5),
             snapshot_every: 200,
-            patience: interfere::Patience::default(),
-            weights: place::Weights::default(),
+            throttle_policy: interference::ThrottlePolicy::default(),
+            weights: placement::Weights::default(),
         }
     }
 }
@@ -131,7 +131,7 @@
     /// Another holder told the hall's endpoints.
     Table(endpoints::Table),
     /// The harm of pairs is known from elsewhere.
-    Harms(interfere::Harms),
+    Harms(interference::Model),
     /// This host is about to stop.
     Leave,
 }
@@ -284,7 +284,7 @@
 
     /// Returns whether this host has nothing of the hall left to give up.
     #[must_use]
-    pub fn left(&self) -> bool {
+    pub fn is_watching(&self) -> bool {
         matches!(self.role, Role::Watching)
     }
 
--- a/crates/wharflane/src/hall/plan.rs
+++ b/crates/wharflane/src/hall/plan.rs
@@ -11,7 +11,7 @@
 use super::spec;
 use super::view;
 use crate::id;
-use crate::place;
+use crate::placement;
 use crate::size;
 use crate::task_table;
 use crate::work;
@@ -160,7 +160,7 @@
         need: &size::Size,
         slots: &mut [slot::Slot],
     ) -> Result<(), slot::WaitReason> {
-        let mut capacities = self.views.values().filter_map(|view| view.life.capacity);
+        let mut capacities = self.views.values().filter_map(|view| view.incarnation.capacity);
         if !capacities.any(|capacity| spec.size.fits(&capacity)) {
             return Err(if slots.is_empty() {
                 slot::WaitReason::NoRoom
@@ -208,14 +208,14 @@
         let start = task.index as usize * COMPARED;
         let turns = (0..slots.len()).map(|turn| (start + turn) % slots.len());
         let fitting = turns.filter(|at| need.fits(&slots[*at].free())).take(compared);
-        let candidates = fitting.map(|at| place::Candidate {
+        let candidates = fitting.map(|at| placement::Candidate {
             at,
             capacity: slots[at].capacity,
             used: slots[at].used,
             harm: self.harm_there(&slots[at], spec),
             siblings: racks.get(&*slots[at].rack).copied().unwrap_or(0),
         });
-        place::choose(candidates, need, &self.settings.weights)
+        placement::choose(candidates, need, &self.settings.weights)
     }
 
     /// Returns what is set aside for a task: its declared size, or more where tasks of its owner
@@ -224,7 +224,7 @@
         let Some(seen) = self.uses.get(&spec.owner) else {
             return spec.size;
         };
-        let capacities = self.views.values().filter_map(|view| view.life.capacity);
+        let capacities = self.views.values().filter_map(|view| view.incarnation.capacity);
         let largest = capacities.map(|capacity| capacity.cpu_milli).max().unwrap_or(0);
         let seen = (*seen as u64).min(largest);
         size::Size { cpu_milli: spec.size.cpu_milli.max(seen), ..spec.size }
@@ -250,8 +250,8 @@
     ) -> Result<(), slot::WaitReason> {
         let offers = slots.iter().filter_map(|slot| {
             let movable = self.movable(&slot.worker, spec.priority);
-            let chosen = place::victims(movable, &slot.free(), need)?;
-            Some((place::price(&chosen), &slot.worker, chosen))
+            let chosen = placement::victims(movable, &slot.free(), need)?;
+            Some((placement::price(&chosen), &slot.worker, chosen))
         });
         let Some((_, worker, chosen)) = offers.min_by_key(|(price, _, _)| *price) else {
             return Err(slot::WaitReason::NoRoom);
@@ -272,7 +272,7 @@
     }
 
     /// Returns the batch tasks of a worker that a priority may displace.
-    fn movable(&self, worker: &id::WorkerId, priority: u32) -> Vec<place::Victim<'_>> {
+    fn movable(&self, worker: &id::WorkerId, priority: u32) -> Vec<placement::Victim<'_>> {
         let reserved = self.promised.values().any(|promised| promised == worker);
         if reserved {
             return Vec::new();
@@ -284,7 +284,7 @@
             batch && placed && entry.priority < priority
         });
         lower
-            .map(|(task, entry)| place::Victim {
+            .map(|(task, entry)| placement::Victim {
                 task,
                 size: entry.size,
                 priority: entry.priority,
@@ -309,7 +309,7 @@
             Some(slot::Slot {
                 worker: worker.clone(),
                 rack: sync::Arc::clone(&view.rack),
-                capacity: view.life.capacity?,
+                capacity: view.incarnation.capacity?,
                 used: self.task_table.used(worker),
                 owners: cell::OnceCell::new(),
             })
--- a/crates/wharflane/src/hall/spec.rs
+++ b/crates/wharflane/src/hall/spec.rs
@@ -83,7 +83,7 @@
     }
     let owner: sync::Arc<str> = spec.owner.as_str().into();
     for index in 0..count {
-        if desired::hall_of(halls, &owner, index) == Some(hall) {
+        if desired::assigned_hall(halls, &owner, index) == Some(hall) {
             let task = id::TaskId { owner: sync::Arc::clone(&owner), born, index };
             wanted.insert(task, sync::Arc::clone(spec));
         }
--- a/crates/wharflane/src/hall/sync.rs
+++ b/crates/wharflane/src/hall/sync.rs
@@ -47,7 +47,7 @@
         view.sent = Some(now);
         // The lease counts from the worker's own clock in its last report, so that a message
         // delayed on its way can't lengthen it.
-        let lease_until_ms = view.boot.map_or(0, |_| view.life.clock_ms + lease_ms);
+        let lease_until_ms = view.boot.map_or(0, |_| view.incarnation.clock_ms + lease_ms);
         let commands = if view.boot.is_some() { commands } else { Vec::new() };
         let sync = work::Sync {
             worker: worker.clone(),
@@ -79,7 +79,7 @@
                 commands.extend(self.command(view, task, entry));
             }
         }
-        for report in view.life.tasks.values() {
+        for report in view.incarnation.tasks.values() {
             commands.extend(self.cleanup(worker, report));
         }
         commands
@@ -93,7 +93,8 @@
         entry: &task_table::Entry,
     ) -> Vec<work::Command> {
         let attempt = entry.attempt;
-        let known = view.life.tasks.get(task).is_some_and(|report| report.attempt == attempt);
+        let known =
+            view.incarnation.tasks.get(task).is_some_and(|report| report.attempt == attempt);
         if matches!(entry.state, task_table::State::Leaving { .. }) {
             return vec![work::Command::Stop { task: task.clone(), attempt }];
         }
@@ -104,10 +105,8 @@
             checkpoint: entry.checkpoint,
             kind: spec.kind.clone(),
         });
-        let throttle = view.life.throttles.get(task).map(|percent| work::Command::Throttle {
-            task: task.clone(),
-            attempt,
-            percent: *percent,
+        let throttle = view.incarnation.throttles.get(task).map(|percent| {
+            work::Command::Throttle { task: task.clone(), attempt, percent: *percent }
         });
         start.into_iter().chain(throttle).collect()
     }
@@ -167,16 +166,17 @@
         };
         let tasks = report.tasks.into_iter().map(|task| (task.task.clone(), task)).collect();
         let first = view.boot.is_none();
-        let before = std::mem::take(&mut view.life.tasks);
-        if view.life.boot != Some(report.boot) {
-            tracing::info!(%worker, boot = report.boot, before = view.life.boot, "life of a worker begins");
-            view.life = view::Life { boot: Some(report.boot), ..view::Life::default() };
+        let before = std::mem::take(&mut view.incarnation.tasks);
+        if view.incarnation.boot != Some(report.boot) {
+            tracing::info!(%worker, boot = report.boot, before = view.incarnation.boot, "life of a worker begins");
+            view.incarnation =
+                view::Incarnation { boot: Some(report.boot), ..view::Incarnation::default() };
         }
-        view.life.tasks = tasks;
+        view.incarnation.tasks = tasks;
         view.boot = Some(report.boot);
-        view.life.clock_ms = report.clock_ms;
-        view.life.capacity = Some(report.capacity);
-        view.life.reported = Some(now);
+        view.incarnation.clock_ms = report.clock_ms;
+        view.incarnation.capacity = Some(report.capacity);
+        view.incarnation.reported = Some(now);
         view.lapse_at = now + lapse;
         view.news = view.news || first;
         let addrs = |tasks: &collections::BTreeMap<id::TaskId, work::TaskReport>| {
@@ -186,7 +186,7 @@
             });
             services.collect::<Vec<_>>()
         };
-        let changed = first || addrs(&before) != addrs(&view.life.tasks);
+        let changed = first || addrs(&before) != addrs(&view.incarnation.tasks);
         self.table_changed |= changed;
         self.note_uses(worker);
         self.settle_tasks(now, worker, &before, first);
@@ -197,9 +197,10 @@
         let Some(view) = self.views.get(worker) else {
             return;
         };
-        for report in view.life.tasks.values() {
+        for report in view.incarnation.tasks.values() {
             // A throttled task shows less than it would use.
-            let throttled = view.life.throttles.get(&report.task).is_some_and(|share| *share < 100);
+            let throttled =
+                view.incarnation.throttles.get(&report.task).is_some_and(|share| *share < 100);
             let Some(used) = report.used_cpu_milli.filter(|_| !throttled) else {
                 continue;
             };
@@ -232,7 +233,7 @@
             let free = |checkpoint: Option<u64>, proof: task_table::Proof| {
                 task_table::Record::Free { task: task.clone(), attempt, checkpoint, proof }
             };
-            let Some(report) = here(&view.life.tasks) else {
+            let Some(report) = here(&view.incarnation.tasks) else {
                 let lost = here(before);
                 // The worker has taken this epoch, so no start of an earlier one can come any
                 // more: what it does not know at first contact does not run there.
@@ -259,9 +260,9 @@
         }
         if let Some(view) = self.views.get_mut(worker) {
             if well {
-                view.life.failures_in_row = 0;
+                view.incarnation.failures_in_row = 0;
             }
-            (0..failed).for_each(|_| view.life.note_failure(now));
+            (0..failed).for_each(|_| view.incarnation.note_failure(now));
         }
         for record in records {
             self.propose(now, record);
@@ -289,7 +290,8 @@
                 if self.is_held(worker, task) {
                     continue;
                 }
-                let report = view.life.tasks.get(task).filter(|r| r.attempt == entry.attempt);
+                let report =
+                    view.incarnation.tasks.get(task).filter(|r| r.attempt == entry.attempt);
                 let checkpoint = report.and_then(|report| checkpoint_of(&report.state));
                 records.push(task_table::Record::Free {
                     task: task.clone(),
--- a/crates/wharflane/src/hall/table.rs
+++ b/crates/wharflane/src/hall/table.rs
@@ -29,10 +29,9 @@
     /// Makes the table of endpoints anew where it has changed.
     pub(super) fn refresh_table(&mut self, now: time::Duration) {
         // A table made before the workers were heard would take good endpoints out of use.
-        let heard = self
-            .task_table
-            .workers()
-            .all(|worker| self.views.get(worker).is_some_and(|view| view.life.reported.is_some()));
+        let heard = self.task_table.workers().all(|worker| {
+            self.views.get(worker).is_some_and(|view| view.incarnation.reported.is_some())
+        });
         let patience = self.settings.sync * SYNCS_BEFORE_TABLE;
         if !heard && self.known.is_empty() && now.saturating_sub(self.taken) < patience {
             return;
@@ -61,10 +60,11 @@
         task: &id::TaskId,
         entry: &task_table::Entry,
     ) -> Option<endpoints::Endpoint> {
-        if view.life.reported.is_none() {
+        if view.incarnation.reported.is_none() {
             return self.known.get(task).filter(|known| known.worker == *worker).cloned();
         }
-        let report = view.life.tasks.get(task).filter(|report| report.attempt == entry.attempt)?;
+        let report =
+            view.incarnation.tasks.get(task).filter(|report| report.attempt == entry.attempt)?;
         let work::TaskState::Running { addr: Some(addr), .. } = &report.state else {
             return None;
         };
--- a/crates/wharflane/src/hall/view.rs
+++ b/crates/wharflane/src/hall/view.rs
@@ -6,7 +6,7 @@
 use std::time;
 
 use crate::id;
-use crate::interfere;
+use crate::interference;
 use crate::members;
 use crate::size;
 use crate::work;
@@ -18,9 +18,9 @@
 /// The most times that a quarantine is doubled.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// What is known of one life of a worker, which ends when the worker loses its memory.
+/// What is known of one incarnation of a worker, which ends when the worker loses its memory.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Life {
+pub(super) struct Incarnation {
     /// Its boot, once it has reported.
     pub boot: Option<u64>,
     /// When the last report came.
@@ -38,7 +38,7 @@
     /// Until when it gets nothing new.
     pub quarantined_until: Option<time::Duration>,
     /// How a disturbance there is followed.
-    pub tracker: interfere::Tracker,
+    pub tracker: interference::Tracker,
     /// The service task that missed its target most in this interval, and by how much.
     pub missed: Option<(id::TaskId, f64)>,
 }
@@ -62,8 +62,8 @@
     pub sent: Option<time::Duration>,
     /// When every lease of its tasks has lapsed, unless it reports again.
     pub lapse_at: time::Duration,
-    /// What is known of the life that reported last.
-    pub life: Life,
+    /// What is known of the incarnation that reported last.
+    pub incarnation: Incarnation,
     /// Whether there is something to tell at once.
     pub news: bool,
 }
@@ -80,7 +80,7 @@
             in_flight: None,
             sent: None,
             lapse_at,
-            life: Life::default(),
+            incarnation: Incarnation::default(),
             news: false,
         }
     }
@@ -102,13 +102,13 @@
 
     /// Returns whether it may get a new task.
     pub fn takes_new(&self, now: time::Duration, fresh: time::Duration) -> bool {
-        let quarantined = self.life.quarantined_until.is_some_and(|until| now < until);
-        let heard = self.life.reported.is_some_and(|at| now.saturating_sub(at) <= fresh);
+        let quarantined = self.incarnation.quarantined_until.is_some_and(|until| now < until);
+        let heard = self.incarnation.reported.is_some_and(|at| now.saturating_sub(at) <= fresh);
         self.addr.is_some() && heard && !quarantined && self.leaving_since.is_none()
     }
 }
 
-impl Life {
+impl Incarnation {
     /// Notes that a task started there has failed.
     pub fn note_failure(&mut self, now: time::Duration) {
         self.failures_in_row += 1;
--- a/crates/wharflane/src/id.rs
+++ b/crates/wharflane/src/id.rs
@@ -66,40 +66,40 @@
     ClassId
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 ///
-/// A worker may start again under its id. The new life holds and knows nothing of the one before: its clock, its numbers of
-/// ends and the fences that it has seen begin anew. Whatever is known of a worker is therefore kept under its life.
+/// A worker may start again under its id. The new incarnation holds and knows nothing of the one before: its clock, its numbers of
+/// ends and the fences that it has seen begin anew. Whatever is known of a worker is therefore kept under its incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "KeptLife", into = "KeptLife")]
-pub struct Life {
-    /// The id, which all lives of the worker share.
+pub struct Incarnation {
+    /// The id, which all incarnations of the worker share.
     pub worker: WorkerId,
-    /// When the life began, in milliseconds since 1970; nothing where that is not told.
+    /// When the incarnation began, in milliseconds since 1970; nothing where that is not told.
     pub born_ms: Option<u64>,
 }
 
-impl Life {
-    /// Returns whether another life of the same worker is a later one.
+impl Incarnation {
+    /// Returns whether another incarnation of the same worker is a later one.
     #[must_use]
     pub fn is_before(&self, other: &Self) -> bool {
         self.worker == other.worker && self.born_ms < other.born_ms
     }
 }
 
-impl From<WorkerId> for Life {
+impl From<WorkerId> for Incarnation {
     fn from(worker: WorkerId) -> Self {
         Self { worker, born_ms: None }
     }
 }
 
-impl From<&str> for Life {
+impl From<&str> for Incarnation {
     fn from(text: &str) -> Self {
         WorkerId::from(text).into()
     }
 }
 
-impl fmt::Display for Life {
+impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.born_ms {
             Some(born_ms) => write!(f, "{}@{born_ms}", self.worker),
@@ -108,7 +108,7 @@
     }
 }
 
-/// A life as it is kept: the id alone where the beginning is not told, as in rows of older versions.
+/// An incarnation as it is kept: the id alone where the beginning is not told, as in rows of older versions.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 enum KeptLife {
@@ -118,7 +118,7 @@
     Told(WorkerId, u64),
 }
 
-impl From<KeptLife> for Life {
+impl From<KeptLife> for Incarnation {
     fn from(kept: KeptLife) -> Self {
         match kept {
             KeptLife::Untold(worker) => worker.into(),
@@ -127,11 +127,11 @@
     }
 }
 
-impl From<Life> for KeptLife {
-    fn from(life: Life) -> Self {
-        match life.born_ms {
-            Some(born_ms) => Self::Told(life.worker, born_ms),
-            None => Self::Untold(life.worker),
+impl From<Incarnation> for KeptLife {
+    fn from(incarnation: Incarnation) -> Self {
+        match incarnation.born_ms {
+            Some(born_ms) => Self::Told(incarnation.worker, born_ms),
+            None => Self::Untold(incarnation.worker),
         }
     }
 }
--- a/crates/wharflane/src/interfere.rs
+++ b/crates/wharflane/src/interference.rs
@@ -47,12 +47,12 @@
 /// A service is taken to miss its target by the sum of its neighbours' harms less its own room.
 /// Hosts tell misses only, so what was kept says just that the sum was not above the room.
 #[derive(Clone, Debug, Default)]
-pub struct Harms {
+pub struct Model {
     /// The services.
     services: collections::BTreeMap<String, Learned>,
 }
 
-impl Harms {
+impl Model {
     /// Learns from one interval: by what share the target was missed, or zero where it was kept.
     pub fn learn(&mut self, service: &str, beside: &[JobShare<'_>], missed: f64) {
         let error = missed - self.expect(service, beside);
@@ -148,7 +148,7 @@
 
 /// How patient the loop is.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct ThrottlePolicy {
     /// Intervals in a row that must miss the target.
     pub misses: u32,
     /// How long a change may take to show.
@@ -159,7 +159,7 @@
     pub steps: &'static [u8],
 }
 
-impl Default for Patience {
+impl Default for ThrottlePolicy {
     fn default() -> Self {
         Self { misses: 2, settle: time::Duration::from_secs(3), calm: 20, steps: &[50, 20] }
     }
@@ -181,7 +181,7 @@
     pub fn next_action<T>(
         &mut self,
         candidates: Vec<Candidate<T>>,
-        patience: &Patience,
+        patience: &ThrottlePolicy,
         now: time::Duration,
     ) -> Action<T> {
         let settling = self.changed.is_some_and(|at| now.saturating_sub(at) < patience.settle);
@@ -206,7 +206,7 @@
     }
 
     /// Returns whether a throttle on the worker may be loosened now.
-    pub fn may_loosen(&mut self, patience: &Patience) -> bool {
+    pub fn may_loosen(&mut self, patience: &ThrottlePolicy) -> bool {
         // Each relapse asks for twice the calm before the next try.
         let calm = self.kept >= patience.calm.saturating_mul(2_u32.pow(self.relapses));
         if calm {
--- a/crates/wharflane/src/job/acks.rs
+++ b/crates/wharflane/src/job/acks.rs
@@ -6,7 +6,12 @@
 
 impl holding::Holding {
     /// Notes an end that the next commit of its job makes last.
-    pub(super) fn note_unrecorded(&mut self, job: spec::JobId, worker: &id::Life, number: u64) {
+    pub(super) fn note_unrecorded(
+        &mut self,
+        job: spec::JobId,
+        worker: &id::Incarnation,
+        number: u64,
+    ) {
         if let Some(view) = self.views.get_mut(worker) {
             view.unrecorded.insert(number);
         }
@@ -17,7 +22,7 @@
     pub(super) fn take_unrecorded(
         &mut self,
         jobs: &[spec::JobId],
-    ) -> Vec<(spec::JobId, id::Life, u64)> {
+    ) -> Vec<(spec::JobId, id::Incarnation, u64)> {
         let mut ends = Vec::new();
         for job in jobs {
             let open = self.unrecorded.remove(job).unwrap_or_default();
@@ -27,7 +32,7 @@
     }
 
     /// Notes that ends are committed, so that their workers may forget them.
-    pub(super) fn recorded(&mut self, ends: &[(spec::JobId, id::Life, u64)]) {
+    pub(super) fn recorded(&mut self, ends: &[(spec::JobId, id::Incarnation, u64)]) {
         for (_, worker, number) in ends {
             if let Some(view) = self.views.get_mut(worker) {
                 view.unrecorded.remove(number);
--- a/crates/wharflane/src/job/acquire.rs
+++ b/crates/wharflane/src/job/acquire.rs
@@ -37,7 +37,7 @@
         if self.leaving {
             return Vec::new();
         }
-        if stands < wait + self.handicap(now) {
+        if stands < wait + self.takeover_delay(now) {
             let addr = lease.addr.filter(|_| !free && stands >= self.settings.probe);
             return addr.map(|addr| event::Effect::Probe { version, addr }).into_iter().collect();
         }
@@ -53,12 +53,12 @@
         &mut self,
         now: time::Duration,
         version: u64,
-        sign: event::Sign,
+        sign: event::ProbeResult,
     ) -> Vec<event::Effect> {
         let wait = match sign {
-            event::Sign::Listens => return Vec::new(),
-            event::Sign::Refused => self.settings.probe,
-            event::Sign::Silent => self.settings.silence,
+            event::ProbeResult::Listens => return Vec::new(),
+            event::ProbeResult::Refused => self.settings.probe,
+            event::ProbeResult::Silent => self.settings.silence,
         };
         let seen = self.seen.clone().filter(|seen| seen.version == version);
         let Some(seen) =
@@ -67,7 +67,7 @@
             return Vec::new();
         };
         let stands = now.saturating_sub(seen.since);
-        if stands < wait + self.handicap(now) {
+        if stands < wait + self.takeover_delay(now) {
             return Vec::new();
         }
         let unchanged_ms = worker::millis(stands);
@@ -91,11 +91,11 @@
             epoch: kept::next_epoch(lease.epoch),
             nonce: self.nonce,
             seq: 0,
-            hold_ms: worker::millis(self.settings.hold),
+            hold_ms: worker::millis(self.settings.task_lease),
             addr: self.settings.addr,
         };
         let inherited = match lease.hold_ms {
-            0 => self.settings.hold_max,
+            0 => self.settings.task_lease_max,
             hold_ms => time::Duration::from_millis(hold_ms),
         } + beyond;
         tracing::info!(
@@ -124,7 +124,7 @@
         let engine::Role::Acquiring { lease, sent, inherited, .. } = &self.role else {
             return Vec::new();
         };
-        let Some(version) = commit::settled(outcome, lease) else {
+        let Some(version) = commit::committed_version(outcome, lease) else {
             // Nothing is lost by watching on: a write that comes late makes this process
             // the holder, which it then reads as its own and takes again.
             self.step_down(now, "the lease was not taken");
@@ -143,10 +143,10 @@
     }
 
     /// Returns how much longer than others this host waits before it takes a lease.
-    fn handicap(&self, now: time::Duration) -> time::Duration {
+    fn takeover_delay(&self, now: time::Duration) -> time::Duration {
         let rest = self.settings.lease * YIELD_LEASES;
         let slow = self.yielded.is_some_and(|at| now.saturating_sub(at) < rest);
         let own = if slow { self.settings.lease } else { time::Duration::ZERO };
-        self.settings.handicap + own
+        self.settings.takeover_delay + own
     }
 }
--- a/crates/wharflane/src/job/advice.rs
+++ b/crates/wharflane/src/job/advice.rs
@@ -34,7 +34,7 @@
 
 impl holding::Holding {
     /// Returns how a job's queue wants its workers to be asked for.
-    pub(super) fn terms_of_advice(&self, job: &spec::Job) -> Option<tickets::Terms> {
+    pub(super) fn terms_of_advice(&self, job: &spec::Job) -> Option<tickets::AdviceTiming> {
         self.queues.queues.get(&job.queue)?.advice
     }
 
@@ -67,12 +67,17 @@
             known.asked = true;
         }
         let (job, round, step) = group;
-        let question = tickets::Question { job, round, step, workers, timeout };
+        let question = tickets::AdviceRequest { job, round, step, workers, timeout };
         self.out.push(event::Effect::Ask(question));
     }
 
     /// Returns workers to ask about: known good ones first, then the emptiest that may be.
-    fn candidates(&self, task: spec::TaskId, most: usize, now: time::Duration) -> Vec<id::Life> {
+    fn candidates(
+        &self,
+        task: spec::TaskId,
+        most: usize,
+        now: time::Duration,
+    ) -> Vec<id::Incarnation> {
         let entry = self.jobs.get(&task.job);
         let step = entry.and_then(|entry| entry.job.step(task.step));
         let (Some(entry), Some(step)) = (entry, step) else {
@@ -84,23 +89,23 @@
         let fits = |view: &&worker::View| {
             let plain = obstacle::plain(view, service, task, step, view.takes(task, now)).is_none();
             plain
-                && !known.bad.contains(&view.member.life)
-                && self.tickets.get(task, &view.member.life, now).is_none()
+                && !known.bad.contains(&view.member.incarnation)
+                && self.tickets.get(task, &view.member.incarnation, now).is_none()
         };
         let mut views: Vec<&worker::View> = self.views.values().filter(fits).collect();
         views.sort_by_key(|view| {
             let rack = view.member.rack.as_deref();
             let near = step.rack.is_none() || rack == step.rack.as_deref();
-            let good = known.good.contains_key(&view.member.life);
+            let good = known.good.contains_key(&view.member.incarnation);
             (!good, !near, std::cmp::Reverse(view.free().cpu_milli))
         });
-        views.into_iter().take(most).map(|view| view.member.life.clone()).collect()
+        views.into_iter().take(most).map(|view| view.member.incarnation.clone()).collect()
     }
 
     /// Takes the answer to a question; nothing stands for one that did not come.
-    pub(super) fn advised(
+    pub(super) fn handle_advice(
         &mut self,
-        question: &tickets::Question,
+        question: &tickets::AdviceRequest,
         answer: Option<&tickets::Advice>,
         now: time::Duration,
     ) {
@@ -140,7 +145,7 @@
         &self,
         job: &spec::Job,
         task: spec::TaskId,
-        worker: &id::Life,
+        worker: &id::Incarnation,
         now: time::Duration,
     ) -> Option<obstacle::Obstacle> {
         self.terms_of_advice(job)?;
--- a/crates/wharflane/src/job/assign.rs
+++ b/crates/wharflane/src/job/assign.rs
@@ -13,7 +13,7 @@
     holding: &mut holding::Holding,
     ready: &work::Ready,
     step: &spec::Step,
-    worker: &id::Life,
+    worker: &id::Incarnation,
     now: time::Duration,
 ) {
     let run = last_run(holding, ready.task) + 1;
@@ -32,7 +32,7 @@
     holding: &mut holding::Holding,
     ready: &work::Ready,
     step: &spec::Step,
-    worker: &id::Life,
+    worker: &id::Incarnation,
     run: u32,
 ) {
     let task = ready.task;
@@ -45,16 +45,16 @@
     state.worker = Some(worker.clone());
     let began = entry.progress.phase != progress::Phase::Running;
     entry.progress.phase = progress::Phase::Running;
-    let image = holding.learned.harm.image(step.image.as_deref());
+    let image = holding.learned.interference.image(step.image.as_deref());
     if let Some(view) = holding.views.get_mut(worker) {
         view.add(task, step, image);
     }
-    holding.keep_apart(task, worker);
-    let link = work::Link::Staged;
+    holding.isolate_start(task, worker);
+    let start_state = work::StartState::Staged;
     let placed = work::Placed {
         worker: worker.clone(),
         run,
-        link,
+        start_state,
         lease_until_ms: 0,
         doubt: work::Doubt::default(),
         began: None,
--- a/crates/wharflane/src/job/choose.rs
+++ b/crates/wharflane/src/job/choose.rs
@@ -4,10 +4,10 @@
 use std::cmp;
 use std::time;
 
-use super::apart;
 use super::group;
-use super::harm;
 use super::holding;
+use super::interference;
+use super::isolation;
 use super::obstacle;
 use super::spec;
 use super::work;
@@ -37,19 +37,21 @@
     step: &spec::Step,
     within: Option<&str>,
     now: time::Duration,
-) -> Option<id::Life> {
-    holding.sought += 1;
-    let image = holding.learned.harm.image(step.image.as_deref());
+) -> Option<id::Incarnation> {
+    holding.worker_searches += 1;
+    let image = holding.learned.interference.image(step.image.as_deref());
     let holding = &*holding;
     let search = Search::of(holding, task, step, image, now)?;
     let outside = |view: &worker::View| within.is_some() && view.member.rack.as_deref() != within;
-    let kept_off = holding.is_kept_off_others(task);
+    let kept_off = holding.avoids_suspects(task);
     let weigh = |view: &worker::View| {
         let cost = if outside(view) { None } else { search.weigh(holding, view) };
-        let stake = || apart::Stake::of(holding, task, view, now);
-        cost.map(|cost| (if kept_off { stake() } else { apart::Stake::default() }, cost))
+        let stake = || isolation::IsolationCost::of(holding, task, view, now);
+        cost.map(|cost| {
+            (if kept_off { stake() } else { isolation::IsolationCost::default() }, cost)
+        })
     };
-    let before = |a: &(apart::Stake, Cost), b: &(apart::Stake, Cost)| {
+    let before = |a: &(isolation::IsolationCost, Cost), b: &(isolation::IsolationCost, Cost)| {
         a.0.cmp(&b.0).then_with(|| a.1.compare(&b.1)).is_lt()
     };
     cheapest(holding, weigh, before)
@@ -62,7 +64,7 @@
     /// Its step.
     step: &'a spec::Step,
     /// What it runs.
-    image: harm::Image,
+    image: interference::Image,
     /// Its job.
     job: &'a spec::Job,
     /// The service whose workers run it.
@@ -70,7 +72,7 @@
     /// The rack that it had better run in.
     near: Option<&'a str>,
     /// The worker where it failed last.
-    avoided: Option<&'a id::Life>,
+    avoided: Option<&'a id::Incarnation>,
     /// The strain that it causes each serving image, by the image's number.
     harms: Vec<f64>,
     /// Whether a ticket is wanted.
@@ -85,7 +87,7 @@
         holding: &'a holding::Holding,
         task: spec::TaskId,
         step: &'a spec::Step,
-        image: harm::Image,
+        image: interference::Image,
         now: time::Duration,
     ) -> Option<Self> {
         let entry = holding.jobs.get(&task.job)?;
@@ -112,23 +114,23 @@
         {
             return None;
         }
-        if holding.kept_for.contains(&view.member.life) {
+        if holding.kept_for.contains(&view.member.incarnation) {
             return None;
         }
         if self.advised
-            && holding.without_ticket(self.job, self.task, &view.member.life, now).is_some()
+            && holding.without_ticket(self.job, self.task, &view.member.incarnation, now).is_some()
         {
             return None;
         }
         let away = self.near.is_some() && view.member.rack.as_deref() != self.near;
-        let again = self.avoided == Some(&view.member.life);
+        let again = self.avoided == Some(&view.member.incarnation);
         let order = cost(holding, view, step, self.image, &self.harms, now)?;
         Some(Cost { again, away, order })
     }
 }
 
 /// Returns the worker where a task failed last.
-pub(super) fn failed_on(entry: &work::Entry, task: spec::TaskId) -> Option<&id::Life> {
+pub(super) fn failed_on(entry: &work::Entry, task: spec::TaskId) -> Option<&id::Incarnation> {
     let state = entry.progress.tasks.get(&task.into());
     state.filter(|state| !state.failed_runs.is_empty())?.failed_on.as_ref()
 }
@@ -138,7 +140,7 @@
     holding: &holding::Holding,
     weigh: impl Fn(&worker::View) -> Option<C>,
     before: impl Fn(&C, &C) -> bool,
-) -> Option<id::Life> {
+) -> Option<id::Incarnation> {
     let mut best: Option<(C, &worker::View)> = None;
     for view in holding.views.values() {
         let Some(cost) = weigh(view) else {
@@ -148,16 +150,20 @@
             best = Some((cost, view));
         }
     }
-    best.map(|(_, view)| view.member.life.clone())
+    best.map(|(_, view)| view.member.incarnation.clone())
 }
 
 /// Returns the strain that a task causes each serving image on average, by the image's number; none for
 /// tasks that don't fill.
-pub(super) fn harms(holding: &holding::Holding, step: &spec::Step, image: harm::Image) -> Vec<f64> {
+pub(super) fn harms(
+    holding: &holding::Holding,
+    step: &spec::Step,
+    image: interference::Image,
+) -> Vec<f64> {
     if !step.fills {
         return Vec::new();
     }
-    holding.learned.harm.harms_of(image)
+    holding.learned.interference.slopes_of(image)
 }
 
 /// Returns the rack where a task of the same step runs, for steps that are slower across racks.
@@ -197,7 +203,7 @@
     holding: &holding::Holding,
     view: &worker::View,
     step: &spec::Step,
-    image: harm::Image,
+    image: interference::Image,
     harms: &[f64],
     now: time::Duration,
 ) -> Option<f64> {
--- a/crates/wharflane/src/job/closed.rs
+++ b/crates/wharflane/src/job/closed.rs
@@ -24,7 +24,7 @@
 
 /// What a host knows of closed halls.
 #[derive(Debug, Default)]
-pub(super) struct Heard {
+pub(super) struct ClosedHallsReading {
     /// What it heard last.
     pub closed: ClosedHalls,
     /// When; nothing before the first time.
@@ -33,27 +33,27 @@
 
 impl engine::Engine {
     /// Takes in which halls are closed; an older reading that comes late says nothing.
-    pub(super) fn closed_heard(&mut self, now: time::Duration, closed: ClosedHalls) {
-        if closed.version < self.heard.closed.version {
+    pub(super) fn apply_closed_halls(&mut self, now: time::Duration, closed: ClosedHalls) {
+        if closed.version < self.closed_halls.closed.version {
             return;
         }
-        for hall in closed.halls.difference(&self.heard.closed.halls) {
+        for hall in closed.halls.difference(&self.closed_halls.closed.halls) {
             tracing::info!(%hall, version = closed.version, "hall closed");
         }
-        for hall in self.heard.closed.halls.difference(&closed.halls) {
+        for hall in self.closed_halls.closed.halls.difference(&closed.halls) {
             tracing::info!(%hall, version = closed.version, "hall open again");
         }
-        self.heard = Heard { closed, at: Some(now) };
+        self.closed_halls = ClosedHallsReading { closed, at: Some(now) };
         if let engine::Role::Holding(holding) = &mut self.role {
-            holding.set_closed(&self.heard);
+            holding.set_closed(&self.closed_halls);
         }
     }
 }
 
 impl holding::Holding {
     /// Takes in which halls are closed, and takes back what was to be started there.
-    pub(super) fn set_closed(&mut self, heard: &Heard) {
-        self.closed_heard = heard.at;
+    pub(super) fn set_closed(&mut self, heard: &ClosedHallsReading) {
+        self.closed_read_at = heard.at;
         if self.closed == heard.closed.halls {
             return;
         }
@@ -63,14 +63,14 @@
             view.closed = self.closed.contains(&view.member.hall);
         }
         let staged = self.staged.clone();
-        self.without_barred(&staged);
+        self.release_barred(&staged);
     }
 
     /// Returns whether tasks may be placed: this holder has heard which halls are closed since it took the lease, or
     /// has waited for it long enough. The operator's rows may be away while the holder's own are not, and work that
     /// stands still for that long costs callers more than a start in a hall that was closed meanwhile.
     pub(super) fn knows_closed(&mut self, now: time::Duration) -> bool {
-        if self.closed_heard.is_some_and(|at| at >= self.taken) {
+        if self.closed_read_at.is_some_and(|at| at >= self.taken) {
             return true;
         }
         let waited = now.saturating_sub(self.taken);
@@ -90,7 +90,7 @@
     /// Frees the tasks among some with recorded starts that would be ordered in a closed hall or on a worker that leaves, and
     /// returns the others.
     /// A gang with one such member is freed as a whole, since the others would wait for it in vain.
-    pub(super) fn without_barred(&mut self, starts: &[spec::TaskId]) -> Vec<spec::TaskId> {
+    pub(super) fn release_barred(&mut self, starts: &[spec::TaskId]) -> Vec<spec::TaskId> {
         let closed: Vec<spec::TaskId> =
             starts.iter().copied().filter(|task| self.is_staged_where_barred(*task)).collect();
         let gangs: collections::BTreeSet<group::Group> = closed
@@ -112,7 +112,8 @@
 
     /// Returns whether a task's start is recorded, or about to be, and not ordered, where nothing may start any more.
     fn is_staged_where_barred(&self, task: spec::TaskId) -> bool {
-        let staged = self.placed.get(&task).filter(|placed| placed.link == work::Link::Staged);
+        let staged =
+            self.placed.get(&task).filter(|placed| placed.start_state == work::StartState::Staged);
         staged.is_some_and(|placed| {
             self.views.get(&placed.worker).is_some_and(worker::View::is_barred)
         })
--- a/crates/wharflane/src/job/commit.rs
+++ b/crates/wharflane/src/job/commit.rs
@@ -59,7 +59,7 @@
 }
 
 /// Returns the version of a lease row that stands as it was written.
-pub(super) fn settled(outcome: &rows::Outcome, lease: &kept::Lease) -> Option<u64> {
+pub(super) fn committed_version(outcome: &rows::Outcome, lease: &kept::Lease) -> Option<u64> {
     match outcome {
         rows::Outcome::Answered(rows::Answer::Done { version }) => Some(*version),
         // An earlier sending of the same transaction may be what this one conflicts with.
@@ -125,7 +125,7 @@
     }
 
     /// Takes on a renewal of the lease that was sent before the state was read: the first commit follows it.
-    pub(super) fn take_on(
+    pub(super) fn adopt_renewal(
         &mut self,
         number: Option<u64>,
         lease: &kept::Lease,
@@ -153,7 +153,7 @@
     fn gather(&mut self, now: time::Duration, number: u64) -> Result<rows::Txn, serde_json::Error> {
         let domain = self.settings.domain;
         let batch = self.take_dirty()?;
-        let release = self.leaving && (self.hurries || self.dirty.is_empty());
+        let release = self.leaving && (self.release_now || self.dirty.is_empty());
         let lease = kept::Lease {
             holder: if release { None } else { self.lease.holder.clone() },
             seq: self.lease.seq + 1,
@@ -162,11 +162,11 @@
         let mut txn = lease_txn(domain, self.version, &lease)?;
         txn.writes.extend(batch.writes);
         let removed = self.remove_expired(&mut txn);
-        if now >= self.caution.counts_from {
+        if now >= self.commit_limits.counts_from {
             self.add_counts(&mut txn, now)?;
         }
         let before_extras = txn.writes.len();
-        if now >= self.caution.extras_from {
+        if now >= self.commit_limits.extras_from {
             self.add_learned(&mut txn, now)?;
             self.add_unlisted(&mut txn)?;
         }
@@ -204,7 +204,7 @@
     fn take_dirty(&mut self) -> Result<Batch, serde_json::Error> {
         let domain = self.settings.domain;
         let mut batch = Batch::default();
-        while batch.jobs.len() < self.caution.jobs
+        while batch.jobs.len() < self.commit_limits.jobs
             && let Some(job) = self.dirty.front().copied()
         {
             let Some(entry) = self.jobs.get_mut(&job) else {
@@ -253,13 +253,13 @@
         if now.saturating_sub(self.counted_at) < COUNT_EVERY {
             return Ok(());
         }
-        let settled = self.heard_ms.is_some() && !self.has_open_starts();
+        let settled = self.jobs_read_up_to_ms.is_some() && !self.has_open_starts();
         if now < self.taken + SETTLE && !settled {
             return Ok(());
         }
         self.counted_at = now;
         self.log_state();
-        if self.heard_ms.is_none() {
+        if self.jobs_read_up_to_ms.is_none() {
             return Ok(());
         }
         let key = kept::waiting_key(self.settings.domain);
@@ -271,7 +271,7 @@
     /// Returns whether it is open which starts of an earlier holder were taken, of jobs that may wait.
     fn has_open_starts(&self) -> bool {
         self.placed.iter().any(|(task, placed)| {
-            matches!(placed.link, work::Link::Inherited | work::Link::Orphaned)
+            matches!(placed.start_state, work::StartState::Inherited | work::StartState::Orphaned)
                 && self.jobs.get(&task.job).is_some_and(work::Entry::waits)
         })
     }
@@ -313,10 +313,10 @@
             capacity_mb = sum(|view| view.member.capacity.mem_mb),
             used_mb = sum(|view| view.used.mem_mb),
             commits = self.commits,
-            sought = self.sought,
-            relieved = self.relieved,
+            sought = self.worker_searches,
+            relieved = self.starvation_starts,
             given_up = self.given_up,
-            suspects = self.lost_under.len(),
+            suspects = self.loss_record.len(),
             kept_alone = self.views.values().filter(|view| view.alone.is_some()).count(),
             look_gap_ms = worker::millis(self.link.gap()),
             link_bytes_per_s = self.settings.link_bytes_per_s,
@@ -330,7 +330,7 @@
         for entry in self.jobs.values().filter(|entry| entry.waits()) {
             *queues.entry(entry.job.queue.clone()).or_insert(0) += 1;
         }
-        kept::Waiting { queues, as_of_ms: self.heard_ms }
+        kept::Waiting { queues, as_of_ms: self.jobs_read_up_to_ms }
     }
 
     /// Takes what is known of a transaction.
@@ -343,7 +343,7 @@
         let Some(pending) = self.pending.take_if(|pending| pending.number == number) else {
             return Fate::Open;
         };
-        let version = match (settled(outcome, &pending.lease), outcome) {
+        let version = match (committed_version(outcome, &pending.lease), outcome) {
             (Some(version), _) => version,
             (None, rows::Outcome::Answered(_)) => return Fate::Lost,
             (None, rows::Outcome::Refused) => {
@@ -356,7 +356,7 @@
                 return Fate::Open;
             }
         };
-        self.caution.taken();
+        self.commit_limits.taken();
         self.version = version;
         self.renewed = pending.sent;
         let released = pending.lease.holder.is_none();
--- a/crates/wharflane/src/job/crash.rs
+++ b/crates/wharflane/src/job/crash.rs
@@ -2,12 +2,12 @@
 //!
 //! A worker that crashes tells nothing, and neither does one that goes for another reason. So a loss is not ascribed to
 //! anything: it counts under every task that was there, and the next starts of each find out, more and more apart from
-//! others (`apart`). Whoever crashed the worker crashes the next ones alone; what stood beside it works on elsewhere.
+//! others (`isolation`). Whoever crashed the worker crashes the next ones alone; what stood beside it works on elsewhere.
 
 use std::time;
 
 use super::holding;
-use super::lost_under;
+use super::loss_record;
 use super::progress;
 use super::spec;
 use super::work;
@@ -35,21 +35,25 @@
 const CHANCE_PART: usize = 100;
 
 impl holding::Holding {
-    /// Notes that the life of a worker is over.
-    pub(super) fn note_end_of_life(&mut self, worker: &id::Life, tasks: &[spec::TaskId]) {
+    /// Notes that the incarnation of a worker is over.
+    pub(super) fn note_end_of_incarnation(
+        &mut self,
+        worker: &id::Incarnation,
+        tasks: &[spec::TaskId],
+    ) {
         let planned = self.views.get(worker).is_some_and(|view| view.member.leaving);
         let cause = self.note_lapsed_loss(worker).max(self.note_loss(tasks));
         if !planned {
-            self.lost_under.note_end(&worker.worker, cause, self.now);
+            self.loss_record.note_end(&worker.worker, cause, self.now);
         }
     }
 
     /// Notes that a worker is lost, under each task that was there; returns what may have caused it. The tasks must have
     /// their worker still.
-    pub(super) fn note_loss(&mut self, tasks: &[spec::TaskId]) -> lost_under::Cause {
+    pub(super) fn note_loss(&mut self, tasks: &[spec::TaskId]) -> loss_record::Cause {
         let worker = tasks.first().and_then(|task| self.placed.get(task));
         let Some(worker) = worker.map(|placed| placed.worker.clone()) else {
-            return lost_under::Cause::Elsewhere;
+            return loss_record::Cause::Elsewhere;
         };
         let present = tasks.iter().filter_map(|task| self.presence(*task));
         let present: Vec<Presence> = present.collect();
@@ -57,8 +61,8 @@
     }
 
     /// Remembers what was on a listed worker whose leases have lapsed. It may live on out of reach, and its entry may only be
-    /// old: should its life turn out to be over, the loss counts then.
-    pub(super) fn remember_lapsed(&mut self, worker: &id::Life, tasks: &[spec::TaskId]) {
+    /// old: should its incarnation turn out to be over, the loss counts then.
+    pub(super) fn remember_lapsed(&mut self, worker: &id::Incarnation, tasks: &[spec::TaskId]) {
         let placed = tasks.iter().filter_map(|task| Some((*task, self.placed.get(task)?)));
         let ordered = placed.filter(|(_, placed)| was_ordered_there(placed));
         let present = ordered.map(|(task, placed)| self.presence_of(task, placed));
@@ -68,9 +72,9 @@
         }
     }
 
-    /// Counts the loss of a worker whose leases have lapsed before its life was known to be over; returns what may have
+    /// Counts the loss of a worker whose leases have lapsed before its incarnation was known to be over; returns what may have
     /// caused it.
-    pub(super) fn note_lapsed_loss(&mut self, worker: &id::Life) -> lost_under::Cause {
+    pub(super) fn note_lapsed_loss(&mut self, worker: &id::Incarnation) -> loss_record::Cause {
         let view = self.views.get_mut(worker).filter(|view| !view.member.leaving);
         let present = view.map(|view| std::mem::take(&mut view.lapsed)).unwrap_or_default();
         let cause = self.count_losses(worker, &present, Known::AfterLapse);
@@ -83,21 +87,21 @@
     /// Counts one loss under each task that was there; returns what may have caused it.
     fn count_losses(
         &mut self,
-        worker: &id::Life,
+        worker: &id::Incarnation,
         present: &[Presence],
         known: Known,
-    ) -> lost_under::Cause {
+    ) -> loss_record::Cause {
         let suspects = present.iter().filter(|presence| presence.is_suspect()).count();
         for presence in present {
             self.count_loss(worker, *presence, suspects, known);
         }
-        if suspects > 0 { lost_under::Cause::Start } else { lost_under::Cause::Elsewhere }
+        if suspects > 0 { loss_record::Cause::Start } else { loss_record::Cause::Elsewhere }
     }
 
     /// Returns whether workers are lost so often where nothing had just started that losses soon after a start may be chance.
     fn are_lost_by_chance(&self) -> bool {
         let since = self.now.saturating_sub(OTHER_CAUSE);
-        let lost = self.lost_under.elsewhere(since);
+        let lost = self.loss_record.elsewhere(since);
         let starts = self.views.len() * OTHER_CAUSE.as_secs() as usize;
         lost * CHANCE_PART >= starts
     }
@@ -105,8 +109,9 @@
     /// Returns how a task was there when its worker was lost, unless the loss can't be its doing.
     fn presence(&self, task: spec::TaskId) -> Option<Presence> {
         let placed = self.placed.get(&task).filter(|placed| self.may_have_crashed(placed))?;
-        // A loss counts once, also where an earlier holder noted it and handed the run on to the worker's next life.
-        let counted = placed.link == work::Link::Inherited && self.starts(task).lost == placed.run;
+        // A loss counts once, also where an earlier holder noted it and handed the run on to the worker's next incarnation.
+        let counted = placed.start_state == work::StartState::Inherited
+            && self.starts(task).lost == placed.run;
         (!counted).then(|| self.presence_of(task, placed))
     }
 
@@ -118,11 +123,17 @@
     }
 
     /// Counts a loss under one task that is still wanted, beside so many suspects.
-    fn count_loss(&mut self, worker: &id::Life, presence: Presence, suspects: usize, known: Known) {
+    fn count_loss(
+        &mut self,
+        worker: &id::Incarnation,
+        presence: Presence,
+        suspects: usize,
+        known: Known,
+    ) {
         let Presence { task, run, at_work } = presence;
         let suspected = presence.is_suspect();
-        let steady = self.lost_under.ends(&worker.worker, self.now) == 0;
-        let wanted = self.wanted(task);
+        let steady = self.loss_record.ends(&worker.worker, self.now) == 0;
+        let wanted = self.should_run(task);
         let Some(entry) = self.jobs.get_mut(&task.job).filter(|_| wanted) else {
             return;
         };
@@ -140,7 +151,7 @@
             times_suspected = losses.suspected, times_alone = losses.alone,
             times_unexplained = losses.unexplained, "worker lost under a task"
         );
-        self.lost_under.add(task, &worker.worker);
+        self.loss_record.add(task, &worker.worker);
         self.mark_task(task);
     }
 
@@ -154,7 +165,7 @@
 
     /// Returns how long a task was at work when its worker answered last; nothing where no answer told of it.
     pub(super) fn at_work(&self, placed: &work::Placed) -> Option<time::Duration> {
-        let work::Link::There(since) = placed.link else {
+        let work::StartState::Confirmed(since) = placed.start_state else {
             return None;
         };
         let (_, answered) = self.views.get(&placed.worker)?.sample?;
@@ -165,7 +176,7 @@
     pub(super) fn give_up_if_lost(&mut self, task: spec::TaskId, now: time::Duration) {
         let losses = self.losses(task);
         let others = self.starts(task).others;
-        if !self.wanted(task) || !losses.are_too_many(others, self.are_lost_by_chance()) {
+        if !self.should_run(task) || !losses.are_too_many(others, self.are_lost_by_chance()) {
             return;
         }
         self.given_up += 1;
@@ -186,7 +197,7 @@
         let open = view.is_some_and(|view| {
             view.lapsed.iter().any(|lapsed| (lapsed.task, lapsed.run) == (task, placed.run))
         });
-        let began = matches!(placed.link, work::Link::There(_));
+        let began = matches!(placed.start_state, work::StartState::Confirmed(_));
         if planned || open || !began || self.losses(task).all() < MOST_SUSPECTED {
             return;
         }
@@ -216,7 +227,7 @@
         let (before, starts) = (self.losses(task), self.starts(task));
         // A loss that is not its start's doing may be its work's: it counts on until the task settles.
         let (after, others) = if at_work >= SETTLED {
-            self.lost_under.forget(task);
+            self.loss_record.forget(task);
             (progress::Losses::default(), 0)
         } else {
             (progress::Losses { suspected: 0, alone: 0, unexplained: before.all() }, starts.others)
@@ -234,7 +245,7 @@
 
     /// Returns whether a worker was lost under a task, and that still counts.
     pub(super) fn was_lost_with(&self, task: spec::TaskId) -> bool {
-        self.lost_under.contains(task)
+        self.loss_record.contains(task)
     }
 
     /// Returns the workers that were lost under a task.
@@ -253,13 +264,15 @@
     }
 }
 
-/// Returns whether an order for a task may have reached its worker in the life that is known there.
+/// Returns whether an order for a task may have reached its worker in the incarnation that is known there.
 pub(super) fn was_ordered_there(placed: &work::Placed) -> bool {
-    match placed.link {
-        // A loss counts once: that of an orphan did when the life before was lost.
-        work::Link::Staged | work::Link::Orphaned => false,
-        work::Link::Ordered | work::Link::There(_) | work::Link::Inherited => true,
-        work::Link::Doubtful(_) | work::Link::Lapsing => placed.doubt.fence > 0,
+    match placed.start_state {
+        // A loss counts once: that of an orphan did when the incarnation before was lost.
+        work::StartState::Staged | work::StartState::Orphaned => false,
+        work::StartState::Ordered
+        | work::StartState::Confirmed(_)
+        | work::StartState::Inherited => true,
+        work::StartState::Unanswered(_) | work::StartState::Expiring => placed.doubt.fence > 0,
     }
 }
 
--- a/crates/wharflane/src/job/ends.rs
+++ b/crates/wharflane/src/job/ends.rs
@@ -11,7 +11,12 @@
 
 impl holding::Holding {
     /// Takes in one end.
-    pub(super) fn ended(&mut self, worker: &id::Life, ended: &order::Ended, now: time::Duration) {
+    pub(super) fn ended(
+        &mut self,
+        worker: &id::Incarnation,
+        ended: &order::Ended,
+        now: time::Duration,
+    ) {
         let Some(view) = self.views.get_mut(worker) else {
             return;
         };
@@ -50,7 +55,7 @@
     ///
     /// A run that counts as lost may have ended before: its worker was silent then, and tells its end later. What
     /// is acknowledged is never told again, so the end holds whichever run is the last by now.
-    fn note_end(&mut self, worker: &id::Life, ended: &order::Ended) -> bool {
+    fn note_end(&mut self, worker: &id::Incarnation, ended: &order::Ended) -> bool {
         let task = ended.task;
         let Some(entry) = self.jobs.get_mut(&task.job) else {
             return false;
@@ -95,7 +100,7 @@
         };
         for index in members {
             let task = spec::TaskId { index, ..ended.task };
-            if self.wanted(task) {
+            if self.should_run(task) {
                 continue;
             }
             self.ready.remove(&task);
@@ -139,7 +144,7 @@
         let Some(state) = entry.progress.tasks.get(&task.into()) else {
             return;
         };
-        let (_, attempts) = self.terms(&entry.job);
+        let (_, attempts) = self.priority_and_attempts(&entry.job);
         if !state.done && state.failures() >= attempts {
             tracing::info!(%task, failures = state.failures(), attempts, "job failed");
             return self.end_job(task.job, progress::Phase::Failed, now);
--- a/crates/wharflane/src/job/engine.rs
+++ b/crates/wharflane/src/job/engine.rs
@@ -90,7 +90,7 @@
     /// The workers that the store lists.
     pub(super) members: members::Members,
     /// What it heard of closed halls.
-    pub(super) heard: closed::Heard,
+    pub(super) closed_halls: closed::ClosedHallsReading,
     /// The number of transactions sent.
     pub(super) numbers: u64,
     /// Whether this host is about to stop.
@@ -112,7 +112,7 @@
             polled: None,
             queues: sync::Arc::default(),
             members: members::Members::default(),
-            heard: closed::Heard::default(),
+            closed_halls: closed::ClosedHallsReading::default(),
             numbers: 0,
             leaving: false,
             yielded: None,
@@ -185,12 +185,12 @@
                     holding.jobs_read(&rows, now);
                 }
             }
-            event::Event::Heard { up_to_ms } => {
+            event::Event::JobsReadUpTo { up_to_ms } => {
                 if let Role::Holding(holding) = &mut self.role {
-                    holding.heard_ms = Some(up_to_ms);
+                    holding.jobs_read_up_to_ms = Some(up_to_ms);
                 }
             }
-            event::Event::Closed(closed) => self.closed_heard(now, closed),
+            event::Event::Closed(closed) => self.apply_closed_halls(now, closed),
             event::Event::Started { order, answer } => {
                 if let Role::Holding(holding) = &mut self.role {
                     holding.started(&order, answer, now);
@@ -203,16 +203,16 @@
             }
             event::Event::Advised { question, answer } => {
                 if let Role::Holding(holding) = &mut self.role {
-                    holding.advised(&question, answer.as_ref(), now);
+                    holding.handle_advice(&question, answer.as_ref(), now);
                 }
             }
-            event::Event::Looked { worker, epoch, answer } => {
+            event::Event::HeartbeatAnswered { worker, epoch, answer } => {
                 if let Role::Holding(holding) = &mut self.role {
-                    holding.looked(&worker, epoch, answer, now);
+                    holding.handle_heartbeat_answer(&worker, epoch, answer, now);
                 }
             }
         }
-        self.pump(now)
+        self.collect_effects(now)
     }
 
     /// Returns what the holder keeps, if this host holds the domain.
@@ -240,7 +240,7 @@
     fn tick(&mut self, now: time::Duration, wall_ms: u64) -> Vec<event::Effect> {
         if let Role::Holding(holding) = &mut self.role {
             holding.tick(now, wall_ms);
-            return self.pump(now);
+            return self.collect_effects(now);
         }
         if matches!(self.role, Role::Loading { .. }) {
             return self.go_on_loading(now);
@@ -254,11 +254,11 @@
     }
 
     /// Lets the holder act on what has happened.
-    pub(super) fn pump(&mut self, now: time::Duration) -> Vec<event::Effect> {
+    pub(super) fn collect_effects(&mut self, now: time::Duration) -> Vec<event::Effect> {
         let Role::Holding(holding) = &mut self.role else {
             return Vec::new();
         };
-        let mut effects = holding.pump(now, self.numbers + 1);
+        let mut effects = holding.collect_effects(now, self.numbers + 1);
         if effects.iter().any(|effect| matches!(effect, event::Effect::Txn(..))) {
             self.numbers += 1;
         }
@@ -296,7 +296,7 @@
                         return Vec::new();
                     }
                 }
-                self.pump(now)
+                self.collect_effects(now)
             }
             _ => Vec::new(),
         }
--- a/crates/wharflane/src/job/event.rs
+++ b/crates/wharflane/src/job/event.rs
@@ -30,7 +30,7 @@
     pub silence: time::Duration,
     /// How much longer than others this host waits before it takes a lease: hosts too weak to hold a domain
     /// with ease leave it to stronger ones.
-    pub handicap: time::Duration,
+    pub takeover_delay: time::Duration,
     /// The time between two reads of a lease that another host holds.
     pub poll: time::Duration,
     /// The least time between two commits.
@@ -38,15 +38,15 @@
     /// The longest time between two commits.
     pub renew: time::Duration,
     /// The lease of tasks on a worker.
-    pub hold: time::Duration,
+    pub task_lease: time::Duration,
     /// The longest lease that a worker grants, which earlier holders may have asked for.
-    pub hold_max: time::Duration,
+    pub task_lease_max: time::Duration,
     /// The longest time that a stop of a task takes.
     pub stop: time::Duration,
     /// How long a look waits for an end.
-    pub look: time::Duration,
+    pub heartbeat_wait: time::Duration,
     /// The time between two looks at a worker where nothing runs.
-    pub look_idle: time::Duration,
+    pub idle_heartbeat_gap: time::Duration,
     /// How long an ended job can be asked for.
     pub keep: time::Duration,
     /// How long a new holder that can't hear which halls are closed starts nothing.
@@ -57,7 +57,7 @@
 
 /// What the host of a holder answers to a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum ProbeResult {
     /// The process listens, or its host takes connections for it.
     Listens,
     /// Nothing listens there.
@@ -83,7 +83,7 @@
         /// The version of the lease row that named it.
         version: u64,
         /// What its host answered.
-        sign: Sign,
+        sign: ProbeResult,
     },
     /// All rows of the domain were read.
     Loaded {
@@ -113,7 +113,7 @@
     /// Rows of accepted jobs were written or read anew.
     Jobs(Vec<rows::Row>),
     /// All jobs that were accepted up to a time of the store's clock were told before this.
-    Heard {
+    JobsReadUpTo {
         /// The time, in milliseconds.
         up_to_ms: u64,
     },
@@ -135,18 +135,18 @@
     /// A worker did not take an order to stop, or left it without an answer.
     StopNotTaken(order::Order),
     /// A worker answered a look, or did not.
-    Looked {
-        /// The life of the worker that was meant.
-        worker: id::Life,
+    HeartbeatAnswered {
+        /// The incarnation of the worker that was meant.
+        worker: id::Incarnation,
         /// The epoch of the look.
         epoch: u64,
         /// The answer.
-        answer: order::LookAnswer,
+        answer: order::HeartbeatAnswer,
     },
     /// A question about the workers of a step was answered, or was not.
     Advised {
         /// The question.
-        question: tickets::Question,
+        question: tickets::AdviceRequest,
         /// The answer.
         answer: Option<tickets::Advice>,
     },
@@ -179,9 +179,9 @@
     /// Stop a task.
     Stop(order::Order),
     /// Look at a worker.
-    Look(order::Look),
+    SendHeartbeat(order::Heartbeat),
     /// Ask which workers may run a step.
-    Ask(tickets::Question),
+    Ask(tickets::AdviceRequest),
     /// Change the share at which a task works.
     Pace(order::Pace),
 }
