--- a/crates/wharflane/src/job/fence.rs
+++ b/crates/wharflane/src/job/fence.rs
@@ -14,8 +14,8 @@
 
 impl holding::Holding {
     /// Returns the fence that orders to a worker bring.
-    pub(super) fn fence(&self, worker: &id::Life) -> u64 {
-        self.lease.epoch + self.raised.get(&worker.worker).copied().unwrap_or(0)
+    pub(super) fn fence(&self, worker: &id::Incarnation) -> u64 {
+        self.lease.epoch + self.fence_offsets.get(&worker.worker).copied().unwrap_or(0)
     }
 
     /// Returns whether a fence is one of this holder's.
@@ -24,7 +24,7 @@
     }
 
     /// Raises the fence of a worker above all orders to start a task there that is to be given up.
-    pub(super) fn raise_fence(&mut self, worker: &id::Life) {
+    pub(super) fn raise_fence(&mut self, worker: &id::Incarnation) {
         let fence = self.fence(worker);
         let Some(view) = self.views.get(worker) else {
             return;
@@ -34,21 +34,21 @@
         });
         if below && self.is_own(fence + 1) {
             tracing::info!(%worker, fence = fence + 1, "fence raised, so that no late start comes");
-            *self.raised.entry(worker.worker.clone()).or_insert(0) += 1;
+            *self.fence_offsets.entry(worker.worker.clone()).or_insert(0) += 1;
         }
     }
 
     /// Returns whether the start of a task had no answer and is not wanted there any more.
     pub(super) fn gives_up(&self, task: spec::TaskId) -> bool {
-        self.placed.get(&task).is_some_and(|placed| match placed.link {
-            work::Link::Lapsing => true,
-            work::Link::Doubtful(_) => !self.wanted(task),
+        self.placed.get(&task).is_some_and(|placed| match placed.start_state {
+            work::StartState::Expiring => true,
+            work::StartState::Unanswered(_) => !self.should_run(task),
             _ => false,
         })
     }
 
     /// Returns whether a task is to run: its job is, and no run of it is done.
-    pub(super) fn wanted(&self, task: spec::TaskId) -> bool {
+    pub(super) fn should_run(&self, task: spec::TaskId) -> bool {
         self.jobs.get(&task.job).filter(|entry| entry.active()).is_some_and(|entry| {
             entry.progress.tasks.get(&task.into()).is_none_or(|state| !state.done)
         })
--- a/crates/wharflane/src/job/gang.rs
+++ b/crates/wharflane/src/job/gang.rs
@@ -19,7 +19,7 @@
     &spec::Step,
     Option<&str>,
     time::Duration,
-) -> Option<id::Life>;
+) -> Option<id::Incarnation>;
 
 /// Places all tasks of a gang, or none; returns whether they found workers.
 pub(super) fn place(
@@ -60,7 +60,7 @@
     step: &spec::Step,
     choose: Choose,
     now: time::Duration,
-) -> Option<Vec<id::Life>> {
+) -> Option<Vec<id::Incarnation>> {
     if step.same_rack {
         for rack in racks(holding, step) {
             let workers = reserve(holding, task, step, (choose, Some(&rack)), now);
@@ -96,8 +96,8 @@
     step: &spec::Step,
     (choose, rack): (Choose, Option<&str>),
     now: time::Duration,
-) -> Option<Vec<id::Life>> {
-    let image = holding.learned.harm.image(step.image.as_deref());
+) -> Option<Vec<id::Incarnation>> {
+    let image = holding.learned.interference.image(step.image.as_deref());
     let mut workers = Vec::new();
     for index in 0..step.count {
         let task = spec::TaskId { index, ..task };
@@ -120,7 +120,7 @@
 /// Returns the checkpoint that all members of a gang go on from.
 fn common_checkpoint(holding: &holding::Holding, task: spec::TaskId, count: u32) -> String {
     let tasks = (0..count).filter_map(|index| {
-        let place = progress::Place::from(spec::TaskId { index, ..task });
+        let place = progress::TaskPosition::from(spec::TaskId { index, ..task });
         holding.jobs.get(&task.job)?.progress.tasks.get(&place)
     });
     // Checkpoints of one gang grow as texts, so the greatest has the most work in it.
@@ -138,7 +138,7 @@
 ) -> bool {
     let mut news = false;
     for index in 0..count {
-        let place = progress::Place::from(spec::TaskId { index, ..task });
+        let place = progress::TaskPosition::from(spec::TaskId { index, ..task });
         news |= progress.tasks.entry(place).or_default().note_end(run, kind);
     }
     news
--- a/crates/wharflane/src/job/looks.rs
+++ b/crates/wharflane/src/job/heartbeats.rs
@@ -25,22 +25,22 @@
 
 impl holding::Holding {
     /// Looks at the workers whose turn has come.
-    pub(super) fn look(&mut self, now: time::Duration) {
+    pub(super) fn send_due_heartbeats(&mut self, now: time::Duration) {
         let due = self.views.iter().filter(|(_, view)| {
             // Ends that are not committed yet would only be told again, but what runs is renewed.
-            let held_back = !view.unrecorded.is_empty() && now < view.look_due + HELD_BACK;
+            let held_back = !view.unrecorded.is_empty() && now < view.heartbeat_due + HELD_BACK;
             // The entry of a service that no queue names may be anybody's.
             let ours = !view.tasks.is_empty() || self.services.contains(&view.member.service);
-            ours && view.look.is_none() && now >= view.look_due && !held_back
+            ours && view.heartbeat_sent.is_none() && now >= view.heartbeat_due && !held_back
         });
-        let due: Vec<id::Life> = due.map(|(worker, _)| worker.clone()).collect();
+        let due: Vec<id::Incarnation> = due.map(|(worker, _)| worker.clone()).collect();
         for worker in due {
-            self.look_at(&worker, now);
+            self.send_heartbeat(&worker, now);
         }
     }
 
     /// Looks at a worker; where a start is to be given up, the answer is wanted at once.
-    fn look_at(&mut self, worker: &id::Life, now: time::Duration) {
+    fn send_heartbeat(&mut self, worker: &id::Incarnation, now: time::Duration) {
         let unsettled = self.unsettled.remove(worker);
         if unsettled {
             self.raise_fence(worker);
@@ -52,15 +52,15 @@
         let busy = !view.tasks.is_empty();
         // A silent worker is granted nothing more, or its leases would never be over.
         let granted = busy && view.misses == 0;
-        let lease_until_ms = if granted { view.grant(now, self.settings.hold) } else { None };
+        let lease_until_ms = if granted { view.grant(now, self.settings.task_lease) } else { None };
         let mixed = !view.serving.is_empty() && !view.filling.is_empty();
         let wait = match (view.fenced && busy && !unsettled, mixed) {
             (false, _) => time::Duration::ZERO,
-            (true, true) => self.settings.look.min(LOOK_MIXED),
-            (true, false) => self.settings.look,
+            (true, true) => self.settings.heartbeat_wait.min(LOOK_MIXED),
+            (true, false) => self.settings.heartbeat_wait,
         };
-        view.look = Some(now);
-        self.out.push(event::Effect::Look(order::Look {
+        view.heartbeat_sent = Some(now);
+        self.out.push(event::Effect::SendHeartbeat(order::Heartbeat {
             worker: worker.clone(),
             addr: view.member.addr,
             epoch,
@@ -71,37 +71,37 @@
     }
 
     /// Takes the answer to a look.
-    pub(super) fn looked(
+    pub(super) fn handle_heartbeat_answer(
         &mut self,
-        worker: &id::Life,
+        worker: &id::Incarnation,
         epoch: u64,
-        mut answer: order::LookAnswer,
+        mut answer: order::HeartbeatAnswer,
         now: time::Duration,
     ) {
         if !self.is_own(epoch) {
             return;
         }
         // A look that the holder's own later order overtook was not answered.
-        let overtaken = answer == order::LookAnswer::Fenced && epoch < self.fence(worker);
-        match answer.other_life(worker) {
+        let overtaken = answer == order::HeartbeatAnswer::Fenced && epoch < self.fence(worker);
+        match answer.other_incarnation(worker) {
             Some(next) if worker.is_before(&next) => {
-                return self.next_life_answered(worker, next, now);
+                return self.next_incarnation_answered(worker, next, now);
             }
             Some(past) => {
                 tracing::warn!(%worker, %past, "a life that is over answers");
-                answer = order::LookAnswer::Silent;
+                answer = order::HeartbeatAnswer::Silent;
             }
             None => {}
         }
         if overtaken {
-            answer = order::LookAnswer::Silent;
+            answer = order::HeartbeatAnswer::Silent;
         }
         let Some(view) = self.views.get_mut(worker) else {
             return;
         };
-        let sent = view.look.take();
+        let sent = view.heartbeat_sent.take();
         match answer {
-            order::LookAnswer::Lists(lists) => {
+            order::HeartbeatAnswer::Lists(lists) => {
                 if view.misses > 0 {
                     tracing::info!(%worker, misses = view.misses, "worker answers again");
                 }
@@ -116,23 +116,23 @@
                     view.granted_ms = view.granted_ms.max(inherited);
                 }
                 view.fenced = true;
-                view.look_due = if view.tasks.is_empty() {
-                    now + self.settings.look_idle
+                view.heartbeat_due = if view.tasks.is_empty() {
+                    now + self.settings.idle_heartbeat_gap
                 } else {
                     now + self.link.gap()
                 };
                 self.changed |= first;
                 self.take_lists(worker, (epoch, &lists), sent.unwrap_or(now), now);
             }
-            order::LookAnswer::Fenced => self.fenced = true,
-            order::LookAnswer::Gone => self.worker_gone(worker),
-            order::LookAnswer::Silent => {
+            order::HeartbeatAnswer::Fenced => self.fenced = true,
+            order::HeartbeatAnswer::Gone => self.worker_gone(worker),
+            order::HeartbeatAnswer::Silent => {
                 if view.misses == 0 {
                     tracing::warn!(%worker, "worker does not answer");
                 }
                 view.misses += 1;
                 let (first, doublings) = LOOK_AGAIN;
-                view.look_due = now + first * 2u32.pow(view.misses.min(doublings));
+                view.heartbeat_due = now + first * 2u32.pow(view.misses.min(doublings));
             }
         }
     }
@@ -140,7 +140,7 @@
     /// Takes in both lists of a worker, in answer to a look with a fence.
     fn take_lists(
         &mut self,
-        worker: &id::Life,
+        worker: &id::Incarnation,
         (fence, lists): (u64, &order::Lists),
         sent: time::Duration,
         now: time::Duration,
@@ -162,60 +162,70 @@
                 continue;
             };
             let runs = running.get(&task) == Some(&placed.run);
-            match placed.link {
-                work::Link::Inherited
-                | work::Link::Orphaned
-                | work::Link::Doubtful(_)
-                | work::Link::Lapsing
+            match placed.start_state {
+                work::StartState::Inherited
+                | work::StartState::Orphaned
+                | work::StartState::Unanswered(_)
+                | work::StartState::Expiring
                     if runs =>
                 {
-                    if matches!(placed.link, work::Link::Inherited | work::Link::Orphaned) {
+                    if matches!(
+                        placed.start_state,
+                        work::StartState::Inherited | work::StartState::Orphaned
+                    ) {
                         adopted.insert(task);
                     }
-                    placed.link = work::Link::There(now);
+                    placed.start_state = work::StartState::Confirmed(now);
                 }
-                // The fence of this look is above all orders for the life before.
-                work::Link::Orphaned if fence > placed.doubt.fence => {
+                // The fence of this look is above all orders for the incarnation before.
+                work::StartState::Orphaned if fence > placed.doubt.fence => {
                     self.free(task, "lost with the last life of its worker");
                 }
                 // This epoch's look was answered, so no earlier holder's start can come any more.
-                work::Link::Inherited => self.free(task, "not there"),
-                work::Link::Doubtful(_) | work::Link::Lapsing if over => {
+                work::StartState::Inherited => self.free(task, "not there"),
+                work::StartState::Unanswered(_) | work::StartState::Expiring if over => {
                     self.free(task, "its start can't be carried out any more");
                 }
-                work::Link::There(at) if !runs && at <= sent => self.free(task, "not there"),
-                work::Link::There(_)
-                | work::Link::Staged
-                | work::Link::Ordered
-                | work::Link::Orphaned
-                | work::Link::Doubtful(_)
-                | work::Link::Lapsing => {}
+                work::StartState::Confirmed(at) if !runs && at <= sent => {
+                    self.free(task, "not there")
+                }
+                work::StartState::Confirmed(_)
+                | work::StartState::Staged
+                | work::StartState::Ordered
+                | work::StartState::Orphaned
+                | work::StartState::Unanswered(_)
+                | work::StartState::Expiring => {}
             }
         }
         for row in &lists.running {
             let known = self.placed.get(&row.task);
             let ours = known.is_some_and(|p| p.run == row.run && p.worker == *worker);
             self.note_begun(row.task.job);
-            if ours && self.lost_under.contains(row.task) {
+            if ours && self.loss_record.contains(row.task) {
                 self.clear_suspect(row.task);
             }
             if !ours {
                 self.stop_stray(worker, row);
-            } else if !self.wanted(row.task) || leaving && self.leaves(row.task, row.percent) {
+            } else if !self.should_run(row.task) || leaving && self.leaves(row.task, row.percent) {
                 self.stop(row.task, now);
             }
         }
         for task in &adopted {
-            self.keep_apart(*task, worker);
+            self.isolate_start(*task, worker);
         }
         self.note_strays(worker, lists);
         self.adopt_shares(worker, lists, &adopted, now);
-        self.weigh(worker, lists, now);
+        self.update_shares(worker, lists, now);
         self.stop_stalled(worker, lists, now);
     }
 
     /// Stops what stands still on a worker, so that it goes on elsewhere, and lets the worker rest.
-    fn stop_stalled(&mut self, worker: &id::Life, lists: &order::Lists, now: time::Duration) {
+    fn stop_stalled(
+        &mut self,
+        worker: &id::Incarnation,
+        lists: &order::Lists,
+        now: time::Duration,
+    ) {
         let mut stalled = Vec::new();
         let view = self.views.get(worker);
         for row in &lists.running {
@@ -236,7 +246,7 @@
             return;
         };
         tracing::warn!(%worker, tasks = stalled.len(), "tasks stand still, the worker rests");
-        view.rest(now);
+        view.quarantine(now);
         for task in stalled {
             self.stop(task, now);
         }
@@ -244,7 +254,7 @@
 
     /// Counts the room of runs that are none of this holder's: it is free only once their ends are listed. A run of
     /// which the size is not known may have all of it.
-    fn note_strays(&mut self, worker: &id::Life, lists: &order::Lists) {
+    fn note_strays(&mut self, worker: &id::Incarnation, lists: &order::Lists) {
         let mut taken = size::Size::default();
         for row in &lists.running {
             let known = self.placed.get(&row.task);
@@ -264,7 +274,7 @@
     }
 
     /// Stops a run that nobody knows of.
-    fn stop_stray(&mut self, worker: &id::Life, row: &order::Running) {
+    fn stop_stray(&mut self, worker: &id::Incarnation, row: &order::Running) {
         let Some(view) = self.views.get(worker) else {
             return;
         };
--- a/crates/wharflane/src/job/holding.rs
+++ b/crates/wharflane/src/job/holding.rs
@@ -8,7 +8,7 @@
 use super::group;
 use super::learned;
 use super::link;
-use super::lost_under;
+use super::loss_record;
 use super::pending;
 use super::progress;
 use super::queue;
@@ -47,11 +47,11 @@
     /// The jobs.
     pub(super) jobs: collections::BTreeMap<spec::JobId, work::Entry>,
     /// The workers.
-    pub(super) views: collections::BTreeMap<id::Life, worker::View>,
+    pub(super) views: collections::BTreeMap<id::Incarnation, worker::View>,
     /// The halls that are closed.
     pub(super) closed: collections::BTreeSet<id::HallId>,
     /// When it was last heard which halls are closed.
-    pub(super) closed_heard: Option<time::Duration>,
+    pub(super) closed_read_at: Option<time::Duration>,
     /// Whether it was told that this can't be heard.
     pub(super) closed_doubted: bool,
     /// The tasks that have a worker.
@@ -65,9 +65,9 @@
     /// The jobs whose progress is to be removed, since their own rows are, with the number of its rows.
     pub(super) expired: Vec<(spec::JobId, u32)>,
     /// The ends that were taken in and not committed yet, by job.
-    pub(super) unrecorded: collections::BTreeMap<spec::JobId, Vec<(id::Life, u64)>>,
+    pub(super) unrecorded: collections::BTreeMap<spec::JobId, Vec<(id::Incarnation, u64)>>,
     /// What commits leave out after one was refused.
-    pub(super) caution: pending::Caution,
+    pub(super) commit_limits: pending::CommitLimits,
     /// Starts that wait for their commit.
     pub(super) staged: Vec<spec::TaskId>,
     /// The transaction under way.
@@ -79,21 +79,21 @@
     /// When what waits was last counted.
     pub(super) counted_at: time::Duration,
     /// Up to which time of the store's clock all accepted jobs were heard of, in milliseconds.
-    pub(super) heard_ms: Option<u64>,
+    pub(super) jobs_read_up_to_ms: Option<u64>,
     /// Whether anything that placement looks at has changed.
     pub(super) changed: bool,
     /// When placement was last tried.
     pub(super) placed_at: time::Duration,
     /// How often a worker was sought for a task.
-    pub(super) sought: u64,
+    pub(super) worker_searches: u64,
     /// How many tasks were started in need.
-    pub(super) relieved: u64,
+    pub(super) starvation_starts: u64,
     /// The task in need for which a worker was sought last, so that they take turns.
     pub(super) relieved_last: Option<spec::TaskId>,
     /// Whether tasks that fill found no worker when they were last tried.
     pub(super) fills_wait: bool,
     /// Workers whose room is kept for lasting tasks that come back, until the next try.
-    pub(super) kept_for: collections::BTreeSet<id::Life>,
+    pub(super) kept_for: collections::BTreeSet<id::Incarnation>,
     /// Which workers may run steps whose queue asks for advice.
     pub(super) tickets: tickets::Tickets,
     /// When it was last told what keeps the tasks of a step waiting.
@@ -105,20 +105,20 @@
     /// The strains of serving tasks as they were last told.
     pub(super) strains: collections::BTreeMap<spec::TaskId, worker::Strain>,
     /// By how much the fences of workers are raised above the epoch; kept while the lease is, since the
-    /// workers remember it. All lives of a worker share it: an order meant for one may reach the next.
-    pub(super) raised: collections::BTreeMap<id::WorkerId, u64>,
+    /// workers remember it. All incarnations of a worker share it: an order meant for one may reach the next.
+    pub(super) fence_offsets: collections::BTreeMap<id::WorkerId, u64>,
     /// Workers with starts that are to be given up, which the next look there settles.
-    pub(super) unsettled: collections::BTreeSet<id::Life>,
+    pub(super) unsettled: collections::BTreeSet<id::Incarnation>,
     /// When stops that were not taken are given again.
-    pub(super) stops_again: collections::BTreeMap<spec::TaskId, time::Duration>,
+    pub(super) stop_retries: collections::BTreeMap<spec::TaskId, time::Duration>,
     /// The workers that are not listed, as they were written last.
     pub(super) unlisted: Vec<kept::Unlisted>,
     /// What this host's link carries.
     pub(super) link: link::Link,
     /// When most of the workers on which something runs were last silent at once.
-    pub(super) many_silent: Option<time::Duration>,
+    pub(super) mass_silence_at: Option<time::Duration>,
     /// The tasks under which a worker was lost, as far as that still counts.
-    pub(super) lost_under: lost_under::LostUnder,
+    pub(super) loss_record: loss_record::LossRecord,
     /// The jobs that were given up since workers crashed under a task.
     pub(super) given_up: u64,
     /// How often a worker was found to have started again under its id.
@@ -128,7 +128,7 @@
     /// Whether the lease is to be given up.
     pub(super) leaving: bool,
     /// Whether it is given up with the next commit, whatever is not written yet: workers tell that to the next holder.
-    pub(super) hurries: bool,
+    pub(super) release_now: bool,
     /// Effects that wait to be handed out.
     pub(super) out: Vec<event::Effect>,
 }
@@ -189,7 +189,7 @@
             jobs: collections::BTreeMap::new(),
             views: collections::BTreeMap::new(),
             closed: collections::BTreeSet::new(),
-            closed_heard: None,
+            closed_read_at: None,
             closed_doubted: false,
             placed: collections::BTreeMap::new(),
             ready: collections::BTreeMap::new(),
@@ -197,17 +197,17 @@
             dirty: collections::VecDeque::new(),
             expired: Vec::new(),
             unrecorded: collections::BTreeMap::new(),
-            caution: pending::Caution::default(),
+            commit_limits: pending::CommitLimits::default(),
             staged: Vec::new(),
             pending: None,
             committed: taken,
             commits: 0,
             counted_at: time::Duration::ZERO,
-            heard_ms: None,
+            jobs_read_up_to_ms: None,
             changed: true,
             placed_at: time::Duration::ZERO,
-            sought: 0,
-            relieved: 0,
+            worker_searches: 0,
+            starvation_starts: 0,
             relieved_last: None,
             fills_wait: false,
             kept_for: collections::BTreeSet::new(),
@@ -216,18 +216,18 @@
             learned: learned::Learned::default(),
             kept_at: taken,
             strains: collections::BTreeMap::new(),
-            raised: collections::BTreeMap::new(),
+            fence_offsets: collections::BTreeMap::new(),
             unsettled: collections::BTreeSet::new(),
-            stops_again: collections::BTreeMap::new(),
+            stop_retries: collections::BTreeMap::new(),
             unlisted: Vec::new(),
             link: link::Link::new(settings.link_bytes_per_s, taken),
-            many_silent: None,
-            lost_under: lost_under::LostUnder::default(),
+            mass_silence_at: None,
+            loss_record: loss_record::LossRecord::default(),
             given_up: 0,
             restarted: 0,
             fenced: false,
             leaving: false,
-            hurries: false,
+            release_now: false,
             out: Vec::new(),
         };
         holding.set_queues(queues);
@@ -251,20 +251,20 @@
             ready: self.ready.len(),
             placed: self.placed.len(),
             workers: self.views.len(),
-            sought: self.sought,
-            relieved: self.relieved,
+            sought: self.worker_searches,
+            relieved: self.starvation_starts,
             given_up: self.given_up,
             restarted: self.restarted,
             look_gap_ms: worker::millis(self.link.gap()),
             times_ms: self.learned.times.dump(),
-            harm: self.learned.harm.dump(),
+            harm: self.learned.interference.dump(),
         }
     }
 
     /// Returns how often a worker was sought for a task, since the lease was taken.
     #[must_use]
-    pub fn sought(&self) -> u64 {
-        self.sought
+    pub fn worker_searches(&self) -> u64 {
+        self.worker_searches
     }
 
     /// Returns how many jobs were given up since workers crashed under a task, since the lease was taken.
@@ -287,7 +287,7 @@
     /// Asks to give the lease up with the next commit.
     pub(super) fn hand_over(&mut self) {
         self.leaving = true;
-        self.hurries = true;
+        self.release_now = true;
     }
 
     /// Returns whether orders may be given: no other host may have taken the lease yet.
@@ -306,19 +306,23 @@
             self.open_round(job, round);
         }
         let busy = self.views.values().filter(|view| !view.tasks.is_empty()).count();
-        self.link.pass(busy, self.settings.hold, now);
+        self.link.pass(busy, self.settings.task_lease, now);
         self.expire(now);
         self.take_up_again(now);
         if self.may_order(now) && !self.leaving {
             self.repeat_orders(now);
             self.repeat_stops(now);
-            self.look(now);
+            self.send_due_heartbeats(now);
         }
         self.free_lapsed(now);
     }
 
     /// Acts on what has happened and returns what is to be done.
-    pub(super) fn pump(&mut self, now: time::Duration, number: u64) -> Vec<event::Effect> {
+    pub(super) fn collect_effects(
+        &mut self,
+        now: time::Duration,
+        number: u64,
+    ) -> Vec<event::Effect> {
         if self.may_order(now) && !self.leaving {
             self.place_ready(now);
         }
@@ -355,8 +359,8 @@
             view.remove(task, step);
         }
         self.strains.remove(&task);
-        if self.lost_under.contains(task) && !self.wanted(task) {
-            self.lost_under.forget(task);
+        if self.loss_record.contains(task) && !self.should_run(task) {
+            self.loss_record.forget(task);
         }
         self.staged.retain(|staged| *staged != task);
         self.mark_task(task);
--- a/crates/wharflane/src/job/intake.rs
+++ b/crates/wharflane/src/job/intake.rs
@@ -102,7 +102,7 @@
             let placed = work::Placed {
                 worker: worker.clone(),
                 run: task.run,
-                link: work::Link::Inherited,
+                start_state: work::StartState::Inherited,
                 lease_until_ms: 0,
                 doubt: work::Doubt::default(),
                 began: None,
@@ -113,7 +113,7 @@
         }
         let lost =
             progress.tasks.iter().filter(|(_, task)| task.losses != progress::Losses::default());
-        lost.for_each(|(place, _)| self.lost_under.inherit(place.of(job), now));
+        lost.for_each(|(place, _)| self.loss_record.inherit(place.of(job), now));
         let ended = progress.phase.ended().then_some(now);
         let begun = progress.tasks.values().any(progress::Task::shows_work);
         let spec = sync::Arc::new(spec);
@@ -121,7 +121,7 @@
         let due: Vec<u64> = (0..rounds).map(|round| spec.due_ms(round)).collect();
         let entry = work::Entry {
             job: spec,
-            order,
+            accepted_version: order,
             version: order,
             accepted_ms,
             cancelled: false,
@@ -179,15 +179,22 @@
         if !open {
             return;
         }
-        let (priority, _) = self.terms(&entry.job);
+        let (priority, _) = self.priority_and_attempts(&entry.job);
         for index in 0..spec.count {
             let task = spec::TaskId { job, round, step, index };
             let state = entry.progress.tasks.get(&task.into());
             let done = state.is_some_and(|state| state.done);
             let returns = spec.lasting && state.is_some_and(|state| state.run > 0);
             if !done && !self.placed.contains_key(&task) {
-                let (lasting, order, since) = (spec.lasting, entry.order, self.now);
-                let ready = work::Ready { task, priority, lasting, returns, order, since };
+                let (lasting, order, since) = (spec.lasting, entry.accepted_version, self.now);
+                let ready = work::Ready {
+                    task,
+                    priority,
+                    lasting,
+                    has_run: returns,
+                    accepted_version: order,
+                    since,
+                };
                 self.ready.entry(task).or_insert(ready);
             }
         }
@@ -195,7 +202,7 @@
     }
 
     /// Returns the priority and the attempts that the queue of a job gives.
-    pub(super) fn terms(&self, job: &spec::Job) -> (u32, u32) {
+    pub(super) fn priority_and_attempts(&self, job: &spec::Job) -> (u32, u32) {
         let queue = self.queues.queues.get(&job.queue);
         queue.map_or((ORPHAN_PRIORITY, ORPHAN_ATTEMPTS), |q| (q.priority, q.max_attempts))
     }
@@ -268,7 +275,7 @@
             self.ready.remove(&task);
         }
         self.tickets.forget(job);
-        self.lost_under.forget_job(job);
+        self.loss_record.forget_job(job);
         self.keep_for_none(|task| task.job == job);
         self.mark(job);
         let tasks = self.placed.range(first..).take_while(|(task, _)| task.job == job);
--- a/crates/wharflane/src/job/harm.rs
+++ b/crates/wharflane/src/job/interference.rs
@@ -129,7 +129,7 @@
 
 impl Fit {
     /// Returns the harm of a filling image.
-    fn harm(&self, image: Image) -> f64 {
+    fn slope(&self, image: Image) -> f64 {
         let at = self.images.iter().position(|known| *known == image);
         at.map_or(PRIOR, |at| self.factors[at + 1].max(0.0))
     }
@@ -313,19 +313,19 @@
     }
 
     /// Returns the strain on an image by another, for a whole worker's processors.
-    pub fn harm(&self, serving: Image, filling: Image) -> f64 {
-        self.fits.get(&serving).map_or(PRIOR, |fit| fit.harm(filling))
+    pub fn slope(&self, serving: Image, filling: Image) -> f64 {
+        self.fits.get(&serving).map_or(PRIOR, |fit| fit.slope(filling))
     }
 
     /// Returns the strain that a filling image causes each serving one, by the serving image's number, for a
     /// whole worker's processors.
-    pub fn harms_of(&self, filling: Image) -> Vec<f64> {
-        (0..self.names.len()).map(|serving| self.harm(Image(serving), filling)).collect()
+    pub fn slopes_of(&self, filling: Image) -> Vec<f64> {
+        (0..self.names.len()).map(|serving| self.slope(Image(serving), filling)).collect()
     }
 
     /// Returns the strain on an image by all its neighbours.
-    pub fn total(&self, serving: Image, uses: &[Use]) -> f64 {
-        uses.iter().map(|used| self.harm(serving, used.image) * used.part).sum()
+    pub fn total_strain(&self, serving: Image, uses: &[Use]) -> f64 {
+        uses.iter().map(|used| self.slope(serving, used.image) * used.part).sum()
     }
 
     /// Learns from the strain that was seen beyond a task's own load.
@@ -339,7 +339,7 @@
         let mut harm = collections::BTreeMap::new();
         for (on, fit) in &self.fits {
             for by in &fit.images {
-                harm.insert(format!("{} by {}", name(on), name(by)), fit.harm(*by));
+                harm.insert(format!("{} by {}", name(on), name(by)), fit.slope(*by));
             }
         }
         harm
--- a/crates/wharflane/src/job/apart.rs
+++ b/crates/wharflane/src/job/isolation.rs
@@ -34,7 +34,7 @@
 /// How long a start waits until it is known whether the worker of the last one is lost: that loss may be the last that the
 /// task has, and a worker that crashed stays listed for some seconds.
 const FATE_WAIT: time::Duration = time::Duration::from_secs(5);
-/// How long a worker is known until its life counts as steady; a suspect that is lost with one that goes down and up
+/// How long a worker is known until its incarnation counts as steady; a suspect that is lost with one that goes down and up
 /// by turns would be blamed for it.
 const STEADY: time::Duration = time::Duration::from_secs(10);
 
@@ -66,17 +66,17 @@
 
     /// Returns whether a task is kept off others under which a worker was lost, before its place's cost is weighed: where its
     /// start is to be apart, or where such tasks are few. Among many it would only cost the sound ones good places.
-    pub(super) fn is_kept_off_others(&self, task: spec::TaskId) -> bool {
-        let few = self.lost_under.len() * ALONE_PART <= self.views.len();
+    pub(super) fn avoids_suspects(&self, task: spec::TaskId) -> bool {
+        let few = self.loss_record.len() * ALONE_PART <= self.views.len();
         self.apart(task) > Apart::Not || few && self.was_lost_with(task)
     }
 
     /// Keeps others off the worker of a task where its start is to be apart, as long as few workers are kept so.
-    pub(super) fn keep_apart(&mut self, task: spec::TaskId, worker: &id::Life) {
+    pub(super) fn isolate_start(&mut self, task: spec::TaskId, worker: &id::Incarnation) {
         if self.apart(task) == Apart::Not {
             return;
         }
-        self.lost_under.end_hold(task);
+        self.loss_record.end_hold(task);
         self.keep_for_none(|kept| kept == task);
         let kept = self.may_keep_alone(task);
         let losses = self.losses(task).all();
@@ -108,7 +108,7 @@
     }
 
     /// Returns whether a start is held back until it can be as far apart as it is to be; never for long.
-    pub(super) fn holds_back(
+    pub(super) fn defers_start(
         &mut self,
         ready: &work::Ready,
         step: &spec::Step,
@@ -121,7 +121,7 @@
             Apart::AtFirst => waited < ALONE_WAIT && !self.may_keep_alone(ready.task),
             Apart::Alone => self.holds_back_to_be_alone(ready, step, now),
         };
-        if held && self.lost_under.begin_hold(ready.task) {
+        if held && self.loss_record.begin_hold(ready.task) {
             tracing::info!(
                 task = %ready.task, losses = self.losses(ready.task).all(),
                 calm_in_ms = worker::millis(self.calm_from().saturating_sub(now)),
@@ -189,8 +189,8 @@
         }
         let ends = |view: &&worker::View| step.reserved().fits(&view.free_in_time());
         let views = self.views.values().filter(|view| would_take(view)).filter(ends);
-        let least = views.min_by_key(|view| Stake::of(self, task, view, now));
-        let worker = least.map(|view| view.member.life.clone());
+        let least = views.min_by_key(|view| IsolationCost::of(self, task, view, now));
+        let worker = least.map(|view| view.member.incarnation.clone());
         if let Some(view) = worker.and_then(|worker| self.views.get_mut(&worker)) {
             view.alone = Some(task);
         }
@@ -198,12 +198,12 @@
 
     /// Returns from when on no worker was lost.
     fn quiet_from(&self) -> time::Duration {
-        self.lost_under.last_end().map_or(time::Duration::ZERO, |at| at + CALM_AFTER)
+        self.loss_record.last_end().map_or(time::Duration::ZERO, |at| at + CALM_AFTER)
     }
 
     /// Returns from when on workers are taken to be lost no more for reasons of their own.
     fn calm_from(&self) -> time::Duration {
-        self.lost_under.last_elsewhere().map_or(time::Duration::ZERO, |at| at + CALM_AFTER)
+        self.loss_record.last_elsewhere().map_or(time::Duration::ZERO, |at| at + CALM_AFTER)
     }
 
     /// Returns whether a worker with nothing on it takes a task.
@@ -230,22 +230,22 @@
 
 /// What speaks against a worker for a task under which one was lost, before all else.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Stake {
+pub(super) struct IsolationCost {
     /// The task is to be alone, and something is there.
     occupied: bool,
-    /// The worker was lost under this task, in whichever life.
+    /// The worker was lost under this task, in whichever incarnation.
     same: bool,
     /// The tasks there under which a worker was lost too: together none of them could be told from the others.
-    lost_under: usize,
-    /// How many of its lives have ended lately, so that it may go for another reason.
+    loss_record: usize,
+    /// How many of its incarnations have ended lately, so that it may go for another reason.
     ends: usize,
-    /// Its life is young, so that it may go for another reason.
+    /// Its incarnation is young, so that it may go for another reason.
     young: bool,
     /// The tasks whose work would be lost.
     tasks: usize,
 }
 
-impl Stake {
+impl IsolationCost {
     /// Returns what is at stake on a worker.
     pub fn of(
         holding: &holding::Holding,
@@ -253,19 +253,19 @@
         view: &worker::View,
         now: time::Duration,
     ) -> Self {
-        let worker = &view.member.life.worker;
+        let worker = &view.member.incarnation.worker;
         let young = now.saturating_sub(view.known_since) < STEADY;
-        let lost_under = view.tasks.iter().filter(|task| holding.was_lost_with(**task)).count();
+        let loss_record = view.tasks.iter().filter(|task| holding.was_lost_with(**task)).count();
         let apart = holding.apart(task);
         if apart == Apart::Not {
-            return Self { lost_under: lost_under.min(1), ..Self::default() };
+            return Self { loss_record: loss_record.min(1), ..Self::default() };
         }
         Self {
             occupied: apart == Apart::Alone && !view.tasks.is_empty(),
-            same: holding.lost_under.contains_worker(task, worker),
-            ends: holding.lost_under.ends(worker, now),
+            same: holding.loss_record.contains_worker(task, worker),
+            ends: holding.loss_record.ends(worker, now),
             young,
-            lost_under,
+            loss_record,
             tasks: view.tasks.len(),
         }
     }
--- a/crates/wharflane/src/job/learned.rs
+++ b/crates/wharflane/src/job/learned.rs
@@ -2,7 +2,7 @@
 //!
 //! It lies in several rows, each bounded by what it may hold, since the store takes 64 KB a row.
 
-use super::harm;
+use super::interference;
 use super::times;
 use crate::rows;
 
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Learned {
     /// Who harms whom.
-    pub harm: harm::Model,
+    pub interference: interference::Model,
     /// How long tasks take.
     pub times: times::Times,
     /// Where the next write goes on among the rows about serving images.
@@ -35,14 +35,14 @@
     /// Returns the encoder's error.
     pub fn rows(&mut self) -> Result<Vec<(String, String)>, serde_json::Error> {
         let mut rows = vec![
-            (IMAGES.to_owned(), self.harm.encode_images()?),
+            (IMAGES.to_owned(), self.interference.encode_images()?),
             (TIMES.to_owned(), serde_json::to_string(&self.times)?),
         ];
-        let fits = self.harm.serving();
+        let fits = self.interference.serving();
         let taken = fits.len().min(FITS_AT_ONCE);
         for at in 0..taken {
             let image = fits[(self.turn + at) % fits.len()];
-            if let Some(fit) = self.harm.encode_fit(image)? {
+            if let Some(fit) = self.interference.encode_fit(image)? {
                 rows.push((format!("{FIT}{}", image.number()), fit));
             }
         }
@@ -59,10 +59,10 @@
             };
             let read = match row.name.as_str() {
                 UNLISTED => Ok(()),
-                IMAGES => learned.harm.decode_images(text),
+                IMAGES => learned.interference.decode_images(text),
                 TIMES => serde_json::from_str(text).map(|times| learned.times = times),
                 name => match name.strip_prefix(FIT).and_then(|number| number.parse().ok()) {
-                    Some(number) => learned.harm.decode_fit(number, text),
+                    Some(number) => learned.interference.decode_fit(number, text),
                     None => {
                         tracing::warn!(key = name, "unknown row of what was learned passed over");
                         Ok(())
@@ -73,7 +73,7 @@
                 tracing::warn!(key = %row.name, %err, "what was learned can't be read, learned anew");
             }
         }
-        learned.harm.drop_unnamed();
+        learned.interference.drop_unnamed();
         learned
     }
 }
--- a/crates/wharflane/src/job/loading.rs
+++ b/crates/wharflane/src/job/loading.rs
@@ -62,7 +62,7 @@
         let Some(mut made) = renewal.take_if(|renewal| renewal.number == Some(number)) else {
             return;
         };
-        match (commit::settled(outcome, &made.lease), outcome) {
+        match (commit::committed_version(outcome, &made.lease), outcome) {
             (Some(_), _) if made.lease.holder.is_none() => {
                 self.step_down(now, "the lease was given up");
             }
@@ -107,14 +107,14 @@
         );
         holding.renewed = *renewed;
         if let Some(renewal) = renewal
-            && let Err(err) = holding.take_on(renewal.number, &renewal.lease, renewal.sent)
+            && let Err(err) = holding.adopt_renewal(renewal.number, &renewal.lease, renewal.sent)
         {
             tracing::error!(%err, "the lease can't be encoded");
         }
         holding.restore_learned(learned);
         holding.load(jobs, progress, now);
         holding.set_members(&self.members, now);
-        holding.set_closed(&self.heard);
+        holding.set_closed(&self.closed_halls);
         holding.restore_unlisted(learned, now);
         holding.stop_unwanted(now);
         if self.leaving {
@@ -129,6 +129,6 @@
             "holding the domain"
         );
         self.role = engine::Role::Holding(Box::new(holding));
-        self.pump(now)
+        self.collect_effects(now)
     }
 }
--- a/crates/wharflane/src/job/lost_under.rs
+++ b/crates/wharflane/src/job/loss_record.rs
@@ -8,7 +8,7 @@
 
 /// The most losses without a cause among the tasks that are remembered: more say nothing more.
 const MOST_REMEMBERED: usize = 1_000;
-/// How long a worker that was lost is taken for one that may be lost again, in whichever life.
+/// How long a worker that was lost is taken for one that may be lost again, in whichever incarnation.
 const UNSTEADY: time::Duration = time::Duration::from_secs(60);
 
 /// What may have caused the loss of a worker.
@@ -22,7 +22,7 @@
 
 /// The tasks under which a worker was lost, as far as that still counts, and how workers were lost lately.
 #[derive(Debug, Default)]
-pub(super) struct LostUnder {
+pub(super) struct LossRecord {
     /// The tasks, with the workers that this holder saw being lost under them.
     tasks: collections::BTreeMap<spec::TaskId, collections::BTreeSet<id::WorkerId>>,
     /// The tasks whose next start is held back.
@@ -31,11 +31,11 @@
     elsewhere: collections::VecDeque<time::Duration>,
     /// When a worker was last lost, as far as is known, where nothing had just started.
     last_elsewhere: Option<time::Duration>,
-    /// When lives of a worker ended lately, the latest last.
+    /// When incarnations of a worker ended lately, the latest last.
     ends: collections::BTreeMap<id::WorkerId, collections::VecDeque<time::Duration>>,
 }
 
-impl LostUnder {
+impl LossRecord {
     /// Adds a task under which an earlier holder saw a worker being lost. What else was lost then is not known, so it is
     /// taken for a trouble that lasted until now.
     pub fn inherit(&mut self, task: spec::TaskId, now: time::Duration) {
@@ -53,7 +53,7 @@
         self.tasks.contains_key(&task)
     }
 
-    /// Returns whether this worker was lost under a task, in whichever life.
+    /// Returns whether this worker was lost under a task, in whichever incarnation.
     pub fn contains_worker(&self, task: spec::TaskId, worker: &id::WorkerId) -> bool {
         self.tasks.get(&task).is_some_and(|workers| workers.contains(worker))
     }
@@ -85,7 +85,7 @@
         self.held.retain(|task| task.job != job);
     }
 
-    /// Notes the end of a worker's life that was not planned.
+    /// Notes the end of a worker's incarnation that was not planned.
     pub fn note_end(&mut self, worker: &id::WorkerId, cause: Cause, now: time::Duration) {
         if cause == Cause::Elsewhere {
             if self.elsewhere.len() >= MOST_REMEMBERED {
@@ -101,14 +101,14 @@
         ends.push_back(now);
     }
 
-    /// Returns how many lives of a worker have ended lately.
+    /// Returns how many incarnations of a worker have ended lately.
     pub fn ends(&self, worker: &id::WorkerId, now: time::Duration) -> usize {
         let since = now.saturating_sub(UNSTEADY);
         let ends = self.ends.get(worker);
         ends.map_or(0, |ends| ends.iter().rev().take_while(|end| **end >= since).count())
     }
 
-    /// Returns when a life last ended that was not planned.
+    /// Returns when an incarnation last ended that was not planned.
     pub fn last_end(&self) -> Option<time::Duration> {
         self.ends.values().filter_map(|ends| ends.back().copied()).max()
     }
--- a/crates/wharflane/src/job/lost.rs
+++ b/crates/wharflane/src/job/lost.rs
@@ -1,4 +1,4 @@
-//! Workers whose life is over, or whose leases have lapsed, and the tasks that were on them.
+//! Workers whose incarnation is over, or whose leases have lapsed, and the tasks that were on them.
 
 use std::collections;
 use std::time;
@@ -13,8 +13,8 @@
 const MANY_SILENT: usize = 4;
 
 impl holding::Holding {
-    /// Frees everything on a worker whose life is known to be over.
-    pub(super) fn worker_gone(&mut self, worker: &id::Life) {
+    /// Frees everything on a worker whose incarnation is known to be over.
+    pub(super) fn worker_gone(&mut self, worker: &id::Incarnation) {
         let Some(view) = self.views.get_mut(worker) else {
             return;
         };
@@ -24,7 +24,7 @@
             silent_ms = view.silence(self.now).map(worker::millis), "worker's life is over"
         );
         view.listed = false;
-        self.note_end_of_life(worker, &tasks);
+        self.note_end_of_incarnation(worker, &tasks);
         self.free_each(&tasks, "worker gone");
         self.views.remove(worker);
     }
@@ -54,13 +54,13 @@
     /// Frees the tasks of silent workers once everything granted there has lapsed.
     pub(super) fn free_lapsed(&mut self, now: time::Duration) {
         if self.are_many_silent() {
-            self.many_silent = Some(now);
+            self.mass_silence_at = Some(now);
         }
         let since = now.saturating_sub(self.doubt_of_own(now));
         let silent = self.views.iter().filter(|(_, view)| {
             (view.misses > 0 || !view.listed) && !view.tasks.is_empty() && view.lapsed(since)
         });
-        let silent: Vec<id::Life> = silent.map(|(worker, _)| worker.clone()).collect();
+        let silent: Vec<id::Incarnation> = silent.map(|(worker, _)| worker.clone()).collect();
         for worker in silent {
             let Some(view) = self.views.get(&worker) else {
                 continue;
@@ -84,8 +84,8 @@
     /// which runs are done. Nothing is lost by waiting: tasks that were freed could only go to the few that answer.
     /// The doubt lasts for a lease after most were silent: they answer one after the other.
     fn doubt_of_own(&self, now: time::Duration) -> time::Duration {
-        let hold = self.settings.hold;
-        let doubted = self.many_silent.is_some_and(|at| now.saturating_sub(at) < hold);
+        let hold = self.settings.task_lease;
+        let doubted = self.mass_silence_at.is_some_and(|at| now.saturating_sub(at) < hold);
         if doubted { hold } else { time::Duration::ZERO }
     }
 
@@ -103,7 +103,8 @@
             return;
         }
         let lost = self.placed.iter().filter(|(_, placed)| {
-            placed.link == work::Link::Inherited && !self.views.contains_key(&placed.worker)
+            placed.start_state == work::StartState::Inherited
+                && !self.views.contains_key(&placed.worker)
         });
         let mut by_worker = collections::BTreeMap::<_, Vec<spec::TaskId>>::new();
         for (task, placed) in lost {
--- a/crates/wharflane/src/job/members.rs
+++ b/crates/wharflane/src/job/members.rs
@@ -8,7 +8,7 @@
 use super::spec;
 use crate::id;
 
-/// The workers that the store lists, each by its latest life.
+/// The workers that the store lists, each by its latest incarnation.
 #[derive(Debug, Default)]
 pub(super) struct Members(collections::BTreeMap<id::WorkerId, order::Member>);
 
@@ -17,7 +17,7 @@
     pub fn list(&mut self, list: &[order::Member]) {
         let before = std::mem::take(&mut self.0);
         for member in list {
-            let worker = &member.life.worker;
+            let worker = &member.incarnation.worker;
             self.0.insert(worker.clone(), latest(before.get(worker), member).clone());
         }
     }
@@ -49,11 +49,11 @@
     }
 }
 
-/// Returns the entry of the later life. One that the life before wrote may come late, and replaces nothing.
+/// Returns the entry of the later incarnation. One that the incarnation before wrote may come late, and replaces nothing.
 fn latest<'a>(known: Option<&'a order::Member>, entry: &'a order::Member) -> &'a order::Member {
     match known {
-        Some(known) if entry.life.is_before(&known.life) => {
-            tracing::info!(worker = %entry.life, latest = %known.life, "entry of a life that is over passed over");
+        Some(known) if entry.incarnation.is_before(&known.incarnation) => {
+            tracing::info!(worker = %entry.incarnation, latest = %known.incarnation, "entry of a life that is over passed over");
             known
         }
         _ => entry,
@@ -63,7 +63,7 @@
 impl holding::Holding {
     /// Takes in the whole list of workers.
     pub(super) fn set_members(&mut self, members: &Members, now: time::Duration) {
-        let known = self.views.keys().map(|life| &life.worker);
+        let known = self.views.keys().map(|incarnation| &incarnation.worker);
         let gone = known.filter(|worker| members.get(worker).is_none());
         let gone: Vec<id::WorkerId> = gone.cloned().collect();
         for worker in gone {
@@ -77,32 +77,36 @@
     /// Notes that the store does not list a worker any more.
     pub(super) fn unlist(&mut self, worker: &id::WorkerId) {
         self.changed = true;
-        let listed = self.views.iter().filter(|(life, view)| life.worker == *worker && view.listed);
-        let listed: Vec<id::Life> = listed.map(|(life, _)| life.clone()).collect();
-        for life in listed {
-            if let Some(view) = self.views.get_mut(&life) {
-                tracing::info!(worker = %life, tasks = view.tasks.len(), "worker not listed any more");
+        let listed = self
+            .views
+            .iter()
+            .filter(|(incarnation, view)| incarnation.worker == *worker && view.listed);
+        let listed: Vec<id::Incarnation> =
+            listed.map(|(incarnation, _)| incarnation.clone()).collect();
+        for incarnation in listed {
+            if let Some(view) = self.views.get_mut(&incarnation) {
+                tracing::info!(worker = %incarnation, tasks = view.tasks.len(), "worker not listed any more");
                 view.listed = false;
             }
-            self.note_lapsed_loss(&life);
+            self.note_lapsed_loss(&incarnation);
         }
     }
 
     /// Takes in what the store lists of one worker.
     pub(super) fn set_member(&mut self, member: order::Member, now: time::Duration) {
         self.changed = true;
-        let Some(view) = self.views.get_mut(&member.life) else {
-            let next = self.views.range(member.life.clone()..).next();
-            if next.is_some_and(|(known, _)| member.life.is_before(known)) {
-                return tracing::info!(worker = %member.life, "entry of a life that is over passed over");
+        let Some(view) = self.views.get_mut(&member.incarnation) else {
+            let next = self.views.range(member.incarnation.clone()..).next();
+            if next.is_some_and(|(known, _)| member.incarnation.is_before(known)) {
+                return tracing::info!(worker = %member.incarnation, "entry of a life that is over passed over");
             }
             tracing::debug!(
-                worker = %member.life, addr = %member.addr, labels = ?member.labels, "worker listed first"
+                worker = %member.incarnation, addr = %member.addr, labels = ?member.labels, "worker listed first"
             );
-            return self.begin_life(member, true, now);
+            return self.begin_incarnation(member, true, now);
         };
         if view.member.leaving != member.leaving || !view.listed {
-            tracing::info!(worker = %member.life, leaving = member.leaving, "worker listed");
+            tracing::info!(worker = %member.incarnation, leaving = member.leaving, "worker listed");
         }
         view.closed = self.closed.contains(&member.hall);
         view.member = member;
--- a/crates/wharflane/src/job/mod.rs
+++ b/crates/wharflane/src/job/mod.rs
@@ -7,7 +7,6 @@
 mod acks;
 mod acquire;
 mod advice;
-mod apart;
 mod assign;
 mod call;
 mod choose;
@@ -20,19 +19,19 @@
 mod fence;
 mod gang;
 mod group;
-mod harm;
 mod headroom;
+mod heartbeats;
 mod holding;
+mod incarnations;
 mod intake;
+mod interference;
+mod isolation;
 mod learned;
 mod link;
-mod lives;
 mod loading;
-mod looks;
+mod loss_record;
 mod lost;
-mod lost_under;
 mod members;
-mod need;
 mod obstacle;
 mod order;
 mod orders;
@@ -40,7 +39,7 @@
 mod pace;
 mod pass;
 mod pending;
-mod place;
+mod placement;
 mod progress;
 mod queue;
 mod ranking;
@@ -49,6 +48,7 @@
 mod rows;
 mod slowness;
 mod spec;
+mod starvation;
 mod tickets;
 mod times;
 mod unlisted;
@@ -59,21 +59,21 @@
 pub use call::{Answer, Call};
 pub use closed::ClosedHalls;
 pub use engine::Engine;
-pub use event::{Effect, Event, Settings, Sign};
+pub use event::{Effect, Event, ProbeResult, Settings};
 pub use holding::{Dump, Holding};
 pub use order::{
-    EndKind, Ended, Lists, Look, LookAnswer, Member, Order, Pace, Running, Start, StartAnswer,
-    StartRefusal,
+    EndKind, Ended, Heartbeat, HeartbeatAnswer, Lists, Member, Order, Pace, Running, Start,
+    StartAnswer, StartRefusal,
 };
-pub use progress::{Losses, Phase, Place, Progress, Task};
+pub use progress::{Losses, Phase, Progress, Task, TaskPosition};
 pub use queue::{Queue, Queues};
 pub use rows::{
     Accepted, JOBS, LEARNED, LEASES, Lease, PROGRESS, WAITING, Waiting, domain_of, job_key,
     job_parts, lease_key, part, progress_key, waiting_key,
 };
-pub use slowness::Slowness;
+pub use slowness::SlownessDetector;
 pub use spec::{
     BadJobId, BadTaskId, Job, JobId, MAX_SPEC_BYTES, MAX_STEPS, MAX_TASKS, Refusal, Repeats, Step,
     TaskId,
 };
-pub use tickets::{Advice, Question, Terms};
+pub use tickets::{Advice, AdviceRequest, AdviceTiming};
--- a/crates/wharflane/src/job/order.rs
+++ b/crates/wharflane/src/job/order.rs
@@ -10,8 +10,8 @@
 /// A worker as the store lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The life of the worker that the entry tells of.
-    pub life: id::Life,
+    /// The incarnation of the worker that the entry tells of.
+    pub incarnation: id::Incarnation,
     /// Where it takes orders.
     pub addr: net::SocketAddr,
     /// The hall that it stands in.
@@ -31,8 +31,8 @@
 /// To whom an order goes, and with what authority.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// The life of the worker that is meant.
-    pub worker: id::Life,
+    /// The incarnation of the worker that is meant.
+    pub worker: id::Incarnation,
     /// Where it takes orders.
     pub addr: net::SocketAddr,
     /// The task.
@@ -74,7 +74,7 @@
     Taken,
     /// It was refused.
     Refused(StartRefusal),
-    /// Another life answers at the address: the one that was meant is over.
+    /// Another incarnation answers at the address: the one that was meant is over.
     Gone,
     /// The worker is not well and has done nothing.
     Unwell,
@@ -101,9 +101,9 @@
 
 /// A look at a worker: it renews the lease, acknowledges ends, and asks for both lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Look {
-    /// The life of the worker that is meant.
-    pub worker: id::Life,
+pub struct Heartbeat {
+    /// The incarnation of the worker that is meant.
+    pub worker: id::Incarnation,
     /// Where it takes orders.
     pub addr: net::SocketAddr,
     /// The epoch of the holder.
@@ -118,33 +118,33 @@
 
 /// What came of a look.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LookAnswer {
+pub enum HeartbeatAnswer {
     /// Both lists.
     Lists(Lists),
     /// The worker has seen a higher epoch.
     Fenced,
-    /// Another life answers at the address: the one that was meant is over.
+    /// Another incarnation answers at the address: the one that was meant is over.
     Gone,
     /// No useful answer came.
     Silent,
 }
 
-impl LookAnswer {
-    /// Returns the life of a worker that answered, where it tells and is not the one that was meant.
+impl HeartbeatAnswer {
+    /// Returns the incarnation of a worker that answered, where it tells and is not the one that was meant.
     #[must_use]
-    pub fn other_life(&self, meant: &id::Life) -> Option<id::Life> {
+    pub fn other_incarnation(&self, meant: &id::Incarnation) -> Option<id::Incarnation> {
         let Self::Lists(Lists { born_ms: Some(born_ms), .. }) = self else {
             return None;
         };
         let other = meant.born_ms.is_some_and(|meant_ms| meant_ms != *born_ms);
-        other.then(|| id::Life { worker: meant.worker.clone(), born_ms: Some(*born_ms) })
+        other.then(|| id::Incarnation { worker: meant.worker.clone(), born_ms: Some(*born_ms) })
     }
 }
 
 /// What runs on a worker and what has ended there.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Lists {
-    /// When the life began that answered, in milliseconds since 1970; nothing where it does not tell.
+    /// When the incarnation began that answered, in milliseconds since 1970; nothing where it does not tell.
     pub born_ms: Option<u64>,
     /// The worker's clock when it answered.
     pub clock_ms: u64,
@@ -170,7 +170,7 @@
 /// A run that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ended {
-    /// Numbers the ends of one life of the worker, from one.
+    /// Numbers the ends of one incarnation of the worker, from one.
     pub number: u64,
     /// The task.
     pub task: spec::TaskId,
--- a/crates/wharflane/src/job/orders.rs
+++ b/crates/wharflane/src/job/orders.rs
@@ -25,10 +25,12 @@
 impl holding::Holding {
     /// Sends the starts whose commit stands.
     pub(super) fn release(&mut self, starts: &[spec::TaskId], now: time::Duration) {
-        for task in self.without_barred(starts) {
-            let wanted = self.wanted(task);
-            let staged =
-                self.placed.get(&task).is_some_and(|placed| placed.link == work::Link::Staged);
+        for task in self.release_barred(starts) {
+            let wanted = self.should_run(task);
+            let staged = self
+                .placed
+                .get(&task)
+                .is_some_and(|placed| placed.start_state == work::StartState::Staged);
             if !staged {
                 continue;
             }
@@ -38,7 +40,7 @@
                 self.send_start(task, now);
             } else if wanted {
                 // Not ordered, so it may be ordered later by whoever holds the domain then.
-                self.set_link(task, work::Link::Doubtful(now));
+                self.set_start_state(task, work::StartState::Unanswered(now));
             } else {
                 self.free(task, "ended before its start was ordered");
             }
@@ -71,14 +73,14 @@
         let Some(view) = self.views.get_mut(&placed.worker) else {
             return;
         };
-        let Some(lease_until_ms) = view.grant(now, self.settings.hold) else {
-            placed.link = work::Link::Doubtful(now + ORDER_AGAIN);
+        let Some(lease_until_ms) = view.grant(now, self.settings.task_lease) else {
+            placed.start_state = work::StartState::Unanswered(now + ORDER_AGAIN);
             return;
         };
         self.link.sent();
         // A worker that was idle would be looked at much later.
-        view.look_due = view.look_due.min(now + self.link.gap());
-        placed.link = work::Link::Ordered;
+        view.heartbeat_due = view.heartbeat_due.min(now + self.link.gap());
+        placed.start_state = work::StartState::Ordered;
         placed.lease_until_ms = placed.lease_until_ms.max(lease_until_ms);
         placed.doubt.fence = fence;
         let Some(entry) = self.jobs.get(&task.job) else {
@@ -105,12 +107,16 @@
         let Some(placed) = self.placed.get_mut(&task) else {
             return;
         };
-        match placed.link {
-            work::Link::Staged if !self.staged.contains(&task) => {}
-            work::Link::Staged => self.free(task, "ended before its start was written"),
+        match placed.start_state {
+            work::StartState::Staged if !self.staged.contains(&task) => {}
+            work::StartState::Staged => self.free(task, "ended before its start was written"),
             // A stop that comes before its start has no effect: the start must be there first.
-            work::Link::Ordered | work::Link::Doubtful(_) | work::Link::Lapsing => {}
-            work::Link::There(_) | work::Link::Inherited | work::Link::Orphaned => {
+            work::StartState::Ordered
+            | work::StartState::Unanswered(_)
+            | work::StartState::Expiring => {}
+            work::StartState::Confirmed(_)
+            | work::StartState::Inherited
+            | work::StartState::Orphaned => {
                 self.order_stop(task, now);
             }
         }
@@ -141,14 +147,14 @@
         });
         if open {
             tracing::info!(task = %order.task, run = order.run, worker = %order.worker, "stop not taken");
-            self.stops_again.insert(order.task, now + STOP_AGAIN);
+            self.stop_retries.insert(order.task, now + STOP_AGAIN);
         }
     }
 
     /// Orders everything to stop that runs on from jobs that ended under an earlier holder: its stops may have been
     /// lost, and the looks that would show what runs there may be lost as well.
     pub(super) fn stop_unwanted(&mut self, now: time::Duration) {
-        let unwanted = self.placed.keys().copied().filter(|task| !self.wanted(*task));
+        let unwanted = self.placed.keys().copied().filter(|task| !self.should_run(*task));
         let unwanted: Vec<spec::TaskId> = unwanted.collect();
         for task in unwanted {
             self.stop(task, now);
@@ -157,10 +163,10 @@
 
     /// Gives stops again that were not taken, unless the run has ended.
     pub(super) fn repeat_stops(&mut self, now: time::Duration) {
-        let due = self.stops_again.iter().filter(|(_, at)| now >= **at);
+        let due = self.stop_retries.iter().filter(|(_, at)| now >= **at);
         let due: Vec<spec::TaskId> = due.map(|(task, _)| *task).collect();
         for task in due {
-            self.stops_again.remove(&task);
+            self.stop_retries.remove(&task);
             let Some(placed) = self.placed.get_mut(&task).filter(|p| p.stopped.is_some()) else {
                 continue;
             };
@@ -172,9 +178,9 @@
 
     /// Gives orders again that had no answer.
     pub(super) fn repeat_orders(&mut self, now: time::Duration) {
-        let due = self.placed.iter().filter(|(_, placed)| match placed.link {
-            work::Link::Doubtful(at) => now >= at,
-            work::Link::Lapsing => true,
+        let due = self.placed.iter().filter(|(_, placed)| match placed.start_state {
+            work::StartState::Unanswered(at) => now >= at,
+            work::StartState::Expiring => true,
             _ => false,
         });
         let due: Vec<spec::TaskId> = due.map(|(task, _)| *task).collect();
@@ -202,9 +208,9 @@
                 %task, %worker, doubt.unanswered, has_room, barred, "starts without an answer, given up"
             );
             if !barred {
-                view.rest(now);
+                view.quarantine(now);
             }
-            self.set_link(task, work::Link::Lapsing);
+            self.set_start_state(task, work::StartState::Expiring);
             return self.settle(task, now);
         }
         if view.misses == 0 {
@@ -222,19 +228,19 @@
         }
         let worker = placed.worker.clone();
         if let Some(view) = self.views.get_mut(&worker).filter(|view| view.misses == 0) {
-            view.look_due = view.look_due.min(now);
+            view.heartbeat_due = view.heartbeat_due.min(now);
         }
         self.unsettled.insert(worker);
         // The run may be there with its answer lost, and looks may be lost like it.
-        if !self.wanted(task) {
+        if !self.should_run(task) {
             self.order_stop(task, now);
         }
     }
 
     /// Notes what is known of a start.
-    fn set_link(&mut self, task: spec::TaskId, link: work::Link) {
+    fn set_start_state(&mut self, task: spec::TaskId, start_state: work::StartState) {
         if let Some(placed) = self.placed.get_mut(&task) {
-            placed.link = link;
+            placed.start_state = start_state;
         }
     }
 
@@ -251,7 +257,7 @@
         let open = self.placed.get(&order.task).is_some_and(|placed| {
             placed.run == order.run
                 && placed.worker == order.worker
-                && placed.link == work::Link::Ordered
+                && placed.start_state == work::StartState::Ordered
         });
         if !open {
             return;
@@ -262,16 +268,16 @@
                 "start not taken"
             );
         }
-        let wanted = self.wanted(order.task);
+        let wanted = self.should_run(order.task);
         match answer {
             order::StartAnswer::Taken | order::StartAnswer::Refused(order::StartRefusal::Old) => {
                 // An old run is one that ended there: the next look tells how, or that it is gone.
-                self.set_link(order.task, work::Link::There(now));
+                self.set_start_state(order.task, work::StartState::Confirmed(now));
                 self.note_begun(order.task.job);
                 if let Some(placed) = self.placed.get_mut(&order.task) {
                     placed.began = placed.began.or(Some(now));
                 }
-                self.tell_shares(&order.worker, now);
+                self.send_shares(&order.worker, now);
                 if !wanted {
                     self.stop(order.task, now);
                 }
@@ -280,7 +286,7 @@
                 if order.epoch < self.fence(&order.worker) =>
             {
                 // The fence was raised while the order was on its way.
-                self.set_link(order.task, work::Link::Doubtful(now));
+                self.set_start_state(order.task, work::StartState::Unanswered(now));
             }
             order::StartAnswer::Refused(order::StartRefusal::Fenced) => self.fenced = true,
             order::StartAnswer::Refused(order::StartRefusal::Ticket) => {
@@ -296,13 +302,13 @@
             order::StartAnswer::Gone => {
                 let unanswered = self.placed.get(&order.task).map_or(0, |p| p.doubt.unanswered);
                 if unanswered == 0 {
-                    // The life that was meant never had the order, so its end is not this task's doing.
+                    // The incarnation that was meant never had the order, so its end is not this task's doing.
                     self.free(order.task, "its worker is another by now");
                 }
                 self.worker_gone(&order.worker);
             }
             order::StartAnswer::Silent => {
-                self.set_link(order.task, work::Link::Doubtful(now + ORDER_AGAIN));
+                self.set_start_state(order.task, work::StartState::Unanswered(now + ORDER_AGAIN));
                 if let Some(placed) = self.placed.get_mut(&order.task) {
                     placed.doubt.unanswered += 1;
                 }
@@ -315,7 +321,7 @@
         let unanswered = self.placed.get(&task).is_some_and(|p| p.doubt.unanswered > 0);
         if unanswered {
             tracing::info!(%task, "refused after an order without answer, which may still come");
-            self.set_link(task, work::Link::Lapsing);
+            self.set_start_state(task, work::StartState::Expiring);
         } else {
             self.free(task, "refused");
         }
--- a/crates/wharflane/src/job/pace.rs
+++ b/crates/wharflane/src/job/pace.rs
@@ -4,8 +4,8 @@
 use std::time;
 
 use super::event;
-use super::harm;
 use super::holding;
+use super::interference;
 use super::order;
 use super::spec;
 use super::work;
@@ -54,8 +54,13 @@
     }
 
     /// Learns from the tails of a worker and sets the shares of what fills it.
-    pub(super) fn weigh(&mut self, worker: &id::Life, lists: &order::Lists, now: time::Duration) {
-        self.tell_shares(worker, now);
+    pub(super) fn update_shares(
+        &mut self,
+        worker: &id::Incarnation,
+        lists: &order::Lists,
+        now: time::Duration,
+    ) {
+        self.send_shares(worker, now);
         let tails: Vec<(spec::TaskId, worker::Serving, f64)> = self.read_tails(worker, lists, now);
         let uses = self.read_uses(worker, lists);
         let margin = if self.fills_wait { 0.0 } else { MARGIN };
@@ -63,8 +68,8 @@
         let mut excess = Vec::new();
         for (task, serving, strain) in tails {
             let own = self.own_load(task.job, now).unwrap_or(strain);
-            self.learned.harm.learn(serving.image, &uses, strain - own);
-            let limit = self.learned.harm.limit(serving.image, serving.target_ms) - margin;
+            self.learned.interference.learn(serving.image, &uses, strain - own);
+            let limit = self.learned.interference.limit(serving.image, serving.target_ms) - margin;
             over = over.max(strain - limit);
             excess.push((serving.image, strain - limit));
         }
@@ -99,7 +104,7 @@
     /// that holder held back stays so, whatever of its orders got through.
     pub(super) fn adopt_shares(
         &mut self,
-        worker: &id::Life,
+        worker: &id::Incarnation,
         lists: &order::Lists,
         adopted: &collections::BTreeSet<spec::TaskId>,
         now: time::Duration,
@@ -124,7 +129,7 @@
     /// Reads the tails of serving tasks as strains.
     fn read_tails(
         &mut self,
-        worker: &id::Life,
+        worker: &id::Incarnation,
         lists: &order::Lists,
         now: time::Duration,
     ) -> Vec<(spec::TaskId, worker::Serving, f64)> {
@@ -136,7 +141,8 @@
             let Some(serving) = view.serving.get(&row.task).copied() else {
                 continue;
             };
-            let strain = self.learned.harm.strain(serving.image, row.load, serving.target_ms);
+            let strain =
+                self.learned.interference.strain(serving.image, row.load, serving.target_ms);
             let before = self.strains.get(&row.task).and_then(|strain| strain.missed);
             let missed = worker::Missed::next(before, row.load, serving.target_ms, now);
             self.strains.insert(row.task, worker::Strain { at: now, strain, missed });
@@ -149,36 +155,36 @@
     /// tails once, and none of late. Nothing where one of them may be used.
     fn unstrained(
         &self,
-        worker: &id::Life,
+        worker: &id::Incarnation,
         margin: f64,
         now: time::Duration,
-    ) -> Vec<(harm::Image, f64)> {
+    ) -> Vec<(interference::Image, f64)> {
         let serving = self.views.get(worker).into_iter().flat_map(|view| &view.serving);
         let below = serving.map(|(task, serving)| {
             let told = self.strains.get(task)?;
-            let limit = self.learned.harm.limit(serving.image, serving.target_ms) - margin;
+            let limit = self.learned.interference.limit(serving.image, serving.target_ms) - margin;
             (now.saturating_sub(told.at) > FRESH).then_some((serving.image, -limit))
         });
         below.collect::<Option<_>>().unwrap_or_default()
     }
 
     /// Reads which part of a worker's processors each filling image uses.
-    fn read_uses(&self, worker: &id::Life, lists: &order::Lists) -> Vec<harm::Use> {
+    fn read_uses(&self, worker: &id::Incarnation, lists: &order::Lists) -> Vec<interference::Use> {
         let Some(view) = self.views.get(worker) else {
             return Vec::new();
         };
-        let mut parts = collections::BTreeMap::<harm::Image, f64>::new();
+        let mut parts = collections::BTreeMap::<interference::Image, f64>::new();
         for row in &lists.running {
             if let Some(filling) = view.filling.get(&row.task) {
                 *parts.entry(filling.image).or_default() += view.part(row.load);
             }
         }
         let uses = parts.into_iter().filter(|(_, part)| *part > 0.0);
-        uses.map(|(image, part)| harm::Use { image, part }).collect()
+        uses.map(|(image, part)| interference::Use { image, part }).collect()
     }
 
     /// Returns whether a task of a worker has missed its target for too long.
-    pub(super) fn missed_long(&self, worker: &id::Life, now: time::Duration) -> bool {
+    pub(super) fn missed_long(&self, worker: &id::Incarnation, now: time::Duration) -> bool {
         let Some(view) = self.views.get(worker) else {
             return false;
         };
@@ -198,7 +204,7 @@
     }
 
     /// Returns shares that hold back what does most harm to the tasks that miss their target, until it is undone.
-    fn held_back(&self, view: &worker::View, excess: &[(harm::Image, f64)]) -> Shares {
+    fn held_back(&self, view: &worker::View, excess: &[(interference::Image, f64)]) -> Shares {
         let capacity = view.member.capacity.cpu_milli.max(1) as f64;
         let mut shares = view.filling.clone();
         for (serving, over) in excess.iter().filter(|(_, over)| *over > 0.0) {
@@ -208,7 +214,7 @@
                 .map(|(task, filling)| {
                     let part =
                         filling.cpu_milli as f64 * f64::from(filling.percent) / 1e2 / capacity;
-                    (self.learned.harm.harm(*serving, filling.image) * part, *task)
+                    (self.learned.interference.slope(*serving, filling.image) * part, *task)
                 })
                 .collect();
             by.sort_by(|a, b| b.0.total_cmp(&a.0));
@@ -227,16 +233,16 @@
     }
 
     /// Returns shares at which work that is held back goes faster, as far as all targets are kept with ease.
-    fn let_go(&self, view: &worker::View, excess: &[(harm::Image, f64)]) -> Shares {
-        let mut room: Vec<(harm::Image, f64)> =
+    fn let_go(&self, view: &worker::View, excess: &[(interference::Image, f64)]) -> Shares {
+        let mut room: Vec<(interference::Image, f64)> =
             excess.iter().map(|(image, over)| (*image, -over - SLACK)).collect();
         let mut shares = view.filling.clone();
         // Nothing speaks for a share that was not ordered yet.
-        let held = |filling: &&mut worker::Filling| filling.percent < 100 && !filling.untold;
+        let held = |filling: &&mut worker::Filling| filling.percent < 100 && !filling.share_unsent;
         for filling in shares.values_mut().filter(held) {
             let whole = view.part(filling.cpu_milli);
-            let part = |(image, room): &(harm::Image, f64)| {
-                let harm = self.learned.harm.harm(*image, filling.image) * whole;
+            let part = |(image, room): &(interference::Image, f64)| {
+                let harm = self.learned.interference.slope(*image, filling.image) * whole;
                 if harm > 0.0 { (*room).max(0.0) / harm } else { 1.0 }
             };
             let more = room.iter().map(part).fold(1.0, f64::min) * 1e2;
@@ -245,7 +251,8 @@
                 continue;
             }
             for (image, room) in &mut room {
-                *room -= self.learned.harm.harm(*image, filling.image) * whole * more / 1e2;
+                *room -=
+                    self.learned.interference.slope(*image, filling.image) * whole * more / 1e2;
             }
             filling.percent += more as u8;
         }
@@ -253,7 +260,7 @@
     }
 
     /// Orders the shares that differ from those in force.
-    fn set_shares(&mut self, worker: &id::Life, shares: &Shares, now: time::Duration) {
+    fn set_shares(&mut self, worker: &id::Incarnation, shares: &Shares, now: time::Duration) {
         let Some(view) = self.views.get_mut(worker) else {
             return;
         };
@@ -269,27 +276,28 @@
             filling.paced |= share.percent < 100;
             filling.low_since =
                 if share.percent < MOVE_BELOW { filling.low_since.or(Some(now)) } else { None };
-            filling.eased &= share.percent < 100;
-            filling.untold = true;
+            filling.started_throttled &= share.percent < 100;
+            filling.share_unsent = true;
             view.paced = now;
         }
-        self.tell_shares(worker, now);
+        self.send_shares(worker, now);
     }
 
     /// Orders the shares that differ from those in force, of tasks that are there: an order for a task that is not
     /// there yet would be refused.
-    pub(super) fn tell_shares(&mut self, worker: &id::Life, now: time::Duration) {
+    pub(super) fn send_shares(&mut self, worker: &id::Incarnation, now: time::Duration) {
         let epoch = self.fence(worker);
         let Some(view) = self.views.get_mut(worker) else {
             return;
         };
-        for (task, filling) in view.filling.iter_mut().filter(|(_, filling)| filling.untold) {
+        for (task, filling) in view.filling.iter_mut().filter(|(_, filling)| filling.share_unsent) {
             let placed = self.placed.get(task);
-            let there = placed.filter(|placed| matches!(placed.link, work::Link::There(_)));
+            let there = placed
+                .filter(|placed| matches!(placed.start_state, work::StartState::Confirmed(_)));
             let Some(placed) = there else {
                 continue;
             };
-            filling.untold = false;
+            filling.share_unsent = false;
             view.paced = now;
             let order = work::order_for(placed, view.member.addr, *task, epoch);
             let pace = order::Pace { order, percent: filling.percent };
@@ -298,14 +306,14 @@
     }
 
     /// Stops tasks that are held back for long and keep their progress, so that they go elsewhere.
-    fn move_held(&mut self, worker: &id::Life, now: time::Duration) {
+    fn move_held(&mut self, worker: &id::Incarnation, now: time::Duration) {
         let Some(view) = self.views.get(worker) else {
             return;
         };
         let held = view.filling.iter().filter(|(_, filling)| {
             // Elsewhere a task in need would be held back alike.
             let moves = |since| now.saturating_sub(since) >= MOVE_AFTER;
-            !filling.eased && filling.low_since.is_some_and(moves)
+            !filling.started_throttled && filling.low_since.is_some_and(moves)
         });
         let held: Vec<spec::TaskId> = held.map(|(task, _)| *task).collect();
         for task in held {
--- a/crates/wharflane/src/job/pass.rs
+++ b/crates/wharflane/src/job/pass.rs
@@ -6,7 +6,7 @@
 
 use std::collections;
 
-use super::harm;
+use super::interference;
 use super::spec;
 use super::work;
 use crate::id;
@@ -20,7 +20,7 @@
     /// The label that they need.
     label: Option<String>,
     /// What it runs, where that decides: harm is learned by image.
-    fills: Option<harm::Image>,
+    fills: Option<interference::Image>,
 }
 
 /// What one pass has found out.
@@ -42,7 +42,7 @@
         &self,
         service: &id::ServiceId,
         step: &spec::Step,
-        image: harm::Image,
+        image: interference::Image,
     ) -> bool {
         let fills = step.fills.then_some(image);
         self.hopeless.iter().any(|(kind, size)| {
@@ -59,7 +59,7 @@
         &mut self,
         service: &id::ServiceId,
         step: &spec::Step,
-        image: harm::Image,
+        image: interference::Image,
         ticket: bool,
     ) {
         if step.max_per_worker.is_some() || ticket {
--- a/crates/wharflane/src/job/pending.rs
+++ b/crates/wharflane/src/job/pending.rs
@@ -28,7 +28,7 @@
     /// Whether it writes what may be left out, such as what was learned.
     pub extras: bool,
     /// The ends that it makes last, by job and worker.
-    pub ends: Vec<(spec::JobId, id::Life, u64)>,
+    pub ends: Vec<(spec::JobId, id::Incarnation, u64)>,
     /// The starts that it makes last.
     pub starts: Vec<spec::TaskId>,
     /// The ended jobs whose rows it removes, with the number of their rows.
@@ -37,7 +37,7 @@
 
 /// What commits leave out after one was refused.
 #[derive(Debug)]
-pub(super) struct Caution {
+pub(super) struct CommitLimits {
     /// The most jobs in one commit.
     pub jobs: usize,
     /// From when on commits may hold what can be left out.
@@ -46,14 +46,14 @@
     pub counts_from: time::Duration,
 }
 
-impl Default for Caution {
+impl Default for CommitLimits {
     fn default() -> Self {
         let (extras_from, counts_from) = (time::Duration::ZERO, time::Duration::ZERO);
         Self { jobs: MOST_JOBS, extras_from, counts_from }
     }
 }
 
-impl Caution {
+impl CommitLimits {
     /// Notes that a commit was taken.
     pub fn taken(&mut self) {
         self.jobs = (self.jobs * 2).min(MOST_JOBS);
--- a/crates/wharflane/src/job/place.rs
+++ b/crates/wharflane/src/job/placement.rs
@@ -10,12 +10,12 @@
 use super::gang;
 use super::group;
 use super::holding;
-use super::need;
 use super::obstacle;
 use super::outlook;
 use super::pass;
 use super::ranking;
 use super::spec;
+use super::starvation;
 use super::work;
 use crate::id;
 
@@ -77,7 +77,7 @@
         }
         place_group(holding, &mut pass, group, now);
     }
-    need::relieve(holding, &pass, now);
+    starvation::relieve(holding, &pass, now);
     holding.forget_told();
 }
 
@@ -103,7 +103,7 @@
     let mut ranking = None;
     let mut next = Some(group.first);
     while let Some(ready) = next {
-        if holding.holds_back(&ready, step, now) {
+        if holding.defers_start(&ready, step, now) {
             next = next_of(holding, &group, ready.task, now);
             continue;
         }
@@ -117,7 +117,7 @@
         if !placed {
             holding.fills_wait |= step.fills;
             holding.tell_wait(pass, &ready, step, now);
-            need::note(holding, pass, &ready, now);
+            starvation::note(holding, pass, &ready, now);
             ask_workers(holding, ready.task, now);
         }
         let full = holding.link.starts(holding.staged.len()) == 0;
@@ -164,7 +164,7 @@
         }
     };
     groups.sort_by_cached_key(|group| {
-        (group.first.priority, turn(group), group.first.order, group.first.task)
+        (group.first.priority, turn(group), group.first.accepted_version, group.first.task)
     });
     groups
 }
@@ -194,7 +194,7 @@
 
 /// Returns whether a lasting task has been away for so long that it goes first.
 fn returns(ready: &work::Ready, now: time::Duration) -> bool {
-    ready.returns && now.saturating_sub(ready.since) >= LONG_AWAY
+    ready.has_run && now.saturating_sub(ready.since) >= LONG_AWAY
 }
 
 /// Asks for workers of a step whose queue wants advice, for all of its tasks that wait.
@@ -227,13 +227,13 @@
     let best = holding
         .views
         .values()
-        .filter(|view| !holding.kept_for.contains(&view.member.life))
+        .filter(|view| !holding.kept_for.contains(&view.member.incarnation))
         .filter(|view| {
             obstacle::plain(view, service, task, step, view.takes(task, now))
                 == Some(obstacle::Obstacle::Room)
         })
         .max_by_key(|view| (step.reserved().fits(&view.free_in_time()), view.free().cpu_milli));
-    if let Some(worker) = best.map(|view| view.member.life.clone()) {
+    if let Some(worker) = best.map(|view| view.member.incarnation.clone()) {
         holding.kept_for.insert(worker);
     }
 }
@@ -287,7 +287,7 @@
     (job, step): (&spec::Job, &spec::Step),
     now: time::Duration,
 ) -> bool {
-    let image = holding.learned.harm.image(step.image.as_deref());
+    let image = holding.learned.interference.image(step.image.as_deref());
     if pass.is_hopeless(holding.service(job), step, image) {
         return false;
     }
@@ -311,9 +311,9 @@
     task: spec::TaskId,
     step: &spec::Step,
     now: time::Duration,
-) -> Option<id::Life> {
+) -> Option<id::Incarnation> {
     let entry = holding.jobs.get(&task.job)?;
-    let differs = choose::failed_on(entry, task).is_some() || holding.is_kept_off_others(task);
+    let differs = choose::failed_on(entry, task).is_some() || holding.avoids_suspects(task);
     if step.same_rack || differs {
         return choose::choose(holding, task, step, None, now);
     }
--- a/crates/wharflane/src/job/progress.rs
+++ b/crates/wharflane/src/job/progress.rs
@@ -35,7 +35,7 @@
 
 /// The place of a task within its job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct TaskPosition {
     /// The round.
     pub round: u32,
     /// The step.
@@ -44,7 +44,7 @@
     pub index: u32,
 }
 
-impl Place {
+impl TaskPosition {
     /// Returns the name of the task that has this place in a job.
     #[must_use]
     pub fn of(self, job: spec::JobId) -> spec::TaskId {
@@ -52,7 +52,7 @@
     }
 }
 
-impl From<spec::TaskId> for Place {
+impl From<spec::TaskId> for TaskPosition {
     fn from(task: spec::TaskId) -> Self {
         Self { round: task.round, step: task.step, index: task.index }
     }
@@ -104,8 +104,8 @@
     pub run: u32,
     /// The runs that failed, each once, whichever holder heard of them in which order.
     pub failed_runs: collections::BTreeSet<u32>,
-    /// Where it may run, by the worker's life.
-    pub worker: Option<id::Life>,
+    /// Where it may run, by the worker's incarnation.
+    pub worker: Option<id::Incarnation>,
     /// Whether it came to its end.
     pub done: bool,
     /// What it saved last; empty where it saved nothing.
@@ -117,7 +117,7 @@
     /// Its starts since.
     pub starts: Starts,
     /// Where it failed last; lost with the holder.
-    pub failed_on: Option<id::Life>,
+    pub failed_on: Option<id::Incarnation>,
 }
 
 impl Task {
@@ -172,7 +172,7 @@
     /// What is told of the job.
     pub phase: Phase,
     /// The tasks that were started at least once.
-    pub tasks: collections::BTreeMap<Place, Task>,
+    pub tasks: collections::BTreeMap<TaskPosition, Task>,
 }
 
 /// The most tasks in one row of progress. A task takes 480 bytes at most, with the longest name of a
@@ -195,7 +195,7 @@
     done: Vec<(u32, u32, u32, u32)>,
     /// Tasks of which no more is known than their last start: round, step, index, run and worker.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    on: Vec<(u32, u32, u32, u32, id::Life)>,
+    on: Vec<(u32, u32, u32, u32, id::Incarnation)>,
     /// The other tasks, the rarer fields left out where they are empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     tasks: Vec<KeptTask>,
@@ -213,7 +213,7 @@
     bad_runs: collections::BTreeSet<u32>,
     /// The worker.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    on: Option<id::Life>,
+    on: Option<id::Incarnation>,
     /// Whether it is done.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     done: bool,
@@ -230,8 +230,8 @@
 
 impl Kept {
     /// Adds a task in the shortest form that says all that counts of it.
-    fn add(&mut self, place: Place, task: &Task) {
-        let Place { round, step, index } = place;
+    fn add(&mut self, place: TaskPosition, task: &Task) {
+        let TaskPosition { round, step, index } = place;
         match (&task.worker, task.done) {
             // Nothing starts it again, so that neither its runs nor what it saved count any more.
             (None, true) => self.add_done(place),
@@ -252,7 +252,7 @@
     }
 
     /// Adds a task that is done, to the range that ends before it if there is one.
-    fn add_done(&mut self, Place { round, step, index }: Place) {
+    fn add_done(&mut self, TaskPosition { round, step, index }: TaskPosition) {
         match self.done.last_mut() {
             Some(last) if (last.0, last.1, last.3 + 1) == (round, step, index) => last.3 = index,
             _ => self.done.push((round, step, index, index)),
@@ -260,16 +260,16 @@
     }
 
     /// Returns all tasks of the row.
-    fn into_tasks(self) -> impl Iterator<Item = (Place, Task)> {
+    fn into_tasks(self) -> impl Iterator<Item = (TaskPosition, Task)> {
         let done = self.done.into_iter().flat_map(|(round, step, first, last)| {
             let indices = first..=last.min(first.saturating_add(ROW_TASKS as u32));
             indices.map(move |index| {
-                (Place { round, step, index }, Task { done: true, ..Task::default() })
+                (TaskPosition { round, step, index }, Task { done: true, ..Task::default() })
             })
         });
         let on = self.on.into_iter().map(|(round, step, index, run, worker)| {
             let task = Task { run, worker: Some(worker), ..Task::default() };
-            (Place { round, step, index }, task)
+            (TaskPosition { round, step, index }, task)
         });
         let tasks = self.tasks.into_iter().map(|task| {
             let (round, step, index) = task.at;
@@ -283,7 +283,7 @@
                 starts: task.starts,
                 ..Task::default()
             };
-            (Place { round, step, index }, state)
+            (TaskPosition { round, step, index }, state)
         });
         done.chain(on).chain(tasks)
     }
@@ -292,7 +292,7 @@
 impl Progress {
     /// Returns the number of the row that holds a task.
     #[must_use]
-    pub fn row_of(job: &spec::Job, place: Place) -> u32 {
+    pub fn row_of(job: &spec::Job, place: TaskPosition) -> u32 {
         let ordinal = job.ordinal(place.round, place.step, place.index);
         u32::try_from(ordinal / ROW_TASKS).unwrap_or(u32::MAX)
     }
@@ -309,7 +309,7 @@
     /// # Errors
     /// Returns the encoder's error.
     pub fn encode(&self, job: &spec::Job, row: u32) -> Result<Option<String>, serde_json::Error> {
-        let kept = |(place, task): &(&Place, &Task)| {
+        let kept = |(place, task): &(&TaskPosition, &Task)| {
             let open = !self.phase.ended() || task.worker.is_some();
             open && Self::row_of(job, **place) == row
         };
@@ -345,7 +345,7 @@
     pub fn step_done(&self, job: &spec::Job, round: u32, step: u32) -> bool {
         let count = job.step(step).map_or(0, |step| step.count);
         (0..count).all(|index| {
-            self.tasks.get(&Place { round, step, index }).is_some_and(|task| task.done)
+            self.tasks.get(&TaskPosition { round, step, index }).is_some_and(|task| task.done)
         })
     }
 
--- a/crates/wharflane/src/job/queue.rs
+++ b/crates/wharflane/src/job/queue.rs
@@ -21,7 +21,7 @@
     /// How often a task may fail before its job has failed.
     pub max_attempts: u32,
     /// The terms of the advice service, where it must be asked which workers may run a step.
-    pub advice: Option<tickets::Terms>,
+    pub advice: Option<tickets::AdviceTiming>,
     /// How many times its longest chain of work a job may take, in hundredths.
     pub stretch_percent: u64,
     /// What a job may take beyond that, in milliseconds; zero where nothing is promised.
--- a/crates/wharflane/src/job/ranking.rs
+++ b/crates/wharflane/src/job/ranking.rs
@@ -9,8 +9,8 @@
 use std::time;
 
 use super::choose;
-use super::harm;
 use super::holding;
+use super::interference;
 use super::spec;
 use crate::id;
 
@@ -20,7 +20,7 @@
     /// What speaks against it.
     cost: choose::Cost,
     /// The worker; of equals the first by name is taken.
-    worker: id::Life,
+    worker: id::Incarnation,
 }
 
 impl Ord for Ranked {
@@ -50,7 +50,7 @@
     /// The workers; one that was given a task stands there again with its new cost.
     heap: collections::BinaryHeap<Ranked>,
     /// What the tasks run.
-    image: harm::Image,
+    image: interference::Image,
 }
 
 impl Ranking {
@@ -61,13 +61,13 @@
         step: &spec::Step,
         now: time::Duration,
     ) -> Option<Self> {
-        holding.sought += 1;
-        let image = holding.learned.harm.image(step.image.as_deref());
+        holding.worker_searches += 1;
+        let image = holding.learned.interference.image(step.image.as_deref());
         let holding = &*holding;
         let search = choose::Search::of(holding, task, step, image, now)?;
         let ranked = holding.views.values().filter_map(|view| {
             let cost = search.weigh(holding, view)?;
-            Some(Ranked { cost, worker: view.member.life.clone() })
+            Some(Ranked { cost, worker: view.member.incarnation.clone() })
         });
         Some(Self { heap: ranked.collect(), image })
     }
@@ -79,7 +79,7 @@
         task: spec::TaskId,
         step: &spec::Step,
         now: time::Duration,
-    ) -> Option<id::Life> {
+    ) -> Option<id::Incarnation> {
         let search = choose::Search::of(holding, task, step, self.image, now)?;
         while let Some(best) = self.heap.pop() {
             // An entry from before a start there does not count any more.
@@ -98,7 +98,7 @@
         holding: &holding::Holding,
         task: spec::TaskId,
         step: &spec::Step,
-        worker: &id::Life,
+        worker: &id::Incarnation,
         now: time::Duration,
     ) {
         let search = choose::Search::of(holding, task, step, self.image, now);
--- a/crates/wharflane/src/job/refused.rs
+++ b/crates/wharflane/src/job/refused.rs
@@ -37,11 +37,11 @@
             _ => None,
         };
         if pending.extras {
-            self.caution.extras_from = now + EXTRAS_AGAIN;
+            self.commit_limits.extras_from = now + EXTRAS_AGAIN;
         } else if pending.jobs.is_empty() {
-            self.caution.counts_from = now + EXTRAS_AGAIN;
+            self.commit_limits.counts_from = now + EXTRAS_AGAIN;
         } else {
-            self.caution.jobs = (pending.jobs.len() / 2).max(1);
+            self.commit_limits.jobs = (pending.jobs.len() / 2).max(1);
         }
         // Callers are told no old counts, so those of a commit that was refused for something else go with the next one.
         self.counted_at = time::Duration::ZERO;
@@ -80,7 +80,7 @@
             entry.set_aside = Some(now);
         }
         self.dirty.retain(|dirty| *dirty != job);
-        self.caution.jobs = pending::MOST_JOBS;
+        self.commit_limits.jobs = pending::MOST_JOBS;
         let staged: Vec<spec::TaskId> =
             self.staged.iter().copied().filter(|task| task.job == job).collect();
         for task in staged {
--- a/crates/wharflane/src/job/rows.rs
+++ b/crates/wharflane/src/job/rows.rs
@@ -179,9 +179,9 @@
 /// A worker in the row of those that are not listed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Unlisted {
-    /// Its life.
+    /// Its incarnation.
     #[serde(rename = "id")]
-    pub life: id::Life,
+    pub incarnation: id::Incarnation,
     /// Where it takes orders.
     pub addr: net::SocketAddr,
     /// Whether it is about to leave.
@@ -191,13 +191,13 @@
 impl Unlisted {
     /// Returns what is kept of a worker.
     pub fn of(member: &order::Member) -> Self {
-        Self { life: member.life.clone(), addr: member.addr, leaving: member.leaving }
+        Self { incarnation: member.incarnation.clone(), addr: member.addr, leaving: member.leaving }
     }
 
     /// Returns a worker of which only this is known; nothing new goes there while nobody lists it.
     pub fn member(&self) -> order::Member {
         order::Member {
-            life: self.life.clone(),
+            incarnation: self.incarnation.clone(),
             addr: self.addr,
             hall: "".into(),
             service: "".into(),
--- a/crates/wharflane/src/job/slowness.rs
+++ b/crates/wharflane/src/job/slowness.rs
@@ -22,7 +22,7 @@
 
 /// The rate at which a host handles the events of its domain.
 #[derive(Clone, Debug, Default)]
-pub struct Slowness {
+pub struct SlownessDetector {
     /// When the window under way began.
     began: Option<time::Duration>,
     /// The events handled in it.
@@ -41,7 +41,7 @@
     slow: u32,
 }
 
-impl Slowness {
+impl SlownessDetector {
     /// Counts an event.
     pub fn event(&mut self) {
         self.handled += 1;
--- a/crates/wharflane/src/job/need.rs
+++ b/crates/wharflane/src/job/starvation.rs
@@ -11,8 +11,8 @@
 use super::assign;
 use super::choose;
 use super::gang;
-use super::harm;
 use super::holding;
+use super::interference;
 use super::obstacle;
 use super::pass;
 use super::spec;
@@ -80,11 +80,14 @@
 fn works(holding: &holding::Holding, job: spec::JobId) -> bool {
     let first = spec::TaskId { job, round: 0, step: 0, index: 0 };
     let mut placed = holding.placed.range(first..).take_while(|(task, _)| task.job == job);
-    placed.any(|(_, placed)| match placed.link {
-        work::Link::Staged | work::Link::Ordered | work::Link::There(_) | work::Link::Inherited => {
-            true
-        }
-        work::Link::Orphaned | work::Link::Doubtful(_) | work::Link::Lapsing => false,
+    placed.any(|(_, placed)| match placed.start_state {
+        work::StartState::Staged
+        | work::StartState::Ordered
+        | work::StartState::Confirmed(_)
+        | work::StartState::Inherited => true,
+        work::StartState::Orphaned
+        | work::StartState::Unanswered(_)
+        | work::StartState::Expiring => false,
     })
 }
 
@@ -110,7 +113,7 @@
 /// Returns whether one more step may have tasks that are held back from their start.
 fn may_ease(holding: &holding::Holding, step: &spec::Step) -> bool {
     let filling = holding.views.values().flat_map(|view| view.filling.values());
-    let eased = filling.filter(|filling| filling.eased).count();
+    let eased = filling.filter(|filling| filling.started_throttled).count();
     let members = if step.gang { step.count as usize } else { 1 };
     eased == 0 || eased + members <= holding.views.len() / EASED_PART
 }
@@ -162,9 +165,9 @@
     step: &spec::Step,
     within: Option<&str>,
     now: time::Duration,
-) -> Option<id::Life> {
-    holding.sought += 1;
-    let image = holding.learned.harm.image(step.image.as_deref());
+) -> Option<id::Incarnation> {
+    holding.worker_searches += 1;
+    let image = holding.learned.interference.image(step.image.as_deref());
     let holding = &*holding;
     let entry = holding.jobs.get(&task.job)?;
     let service = holding.service(&entry.job);
@@ -173,12 +176,12 @@
     let harms = choose::harms(holding, step, image);
     let kept_off = |view: &worker::View| {
         obstacle::plain(view, service, task, step, view.takes_in_need(task, now))
-            .or_else(|| holding.without_ticket(&entry.job, task, &view.member.life, now))
+            .or_else(|| holding.without_ticket(&entry.job, task, &view.member.incarnation, now))
     };
     let weigh = |view: &worker::View| {
-        let worker = &view.member.life;
+        let worker = &view.member.incarnation;
         let outside = within.is_some() && view.member.rack.as_deref() != within;
-        let again = view.rests(now) && avoided == Some(worker);
+        let again = view.is_quarantined(now) && avoided == Some(worker);
         if outside || again || kept_off(view).is_some() {
             return None;
         }
@@ -201,13 +204,14 @@
 ) -> Cost {
     let headroom = holding.headroom(view, now);
     let part = view.part(step.size.cpu_milli);
-    let strain = |image: harm::Image| harms.get(image.number()).copied().unwrap_or(0.0) * part;
+    let strain =
+        |image: interference::Image| harms.get(image.number()).copied().unwrap_or(0.0) * part;
     let left = headroom.left.iter().map(|(image, left)| (*left, strain(*image)));
     Cost {
         missed: step.fills && headroom.missed,
-        rests: view.rests(now),
-        kept: holding.kept_for.contains(&view.member.life),
-        eased: view.filling.values().filter(|filling| filling.eased).count(),
+        rests: view.is_quarantined(now),
+        kept: holding.kept_for.contains(&view.member.incarnation),
+        eased: view.filling.values().filter(|filling| filling.started_throttled).count(),
         unborne: if step.fills { 1.0 - borne(left) } else { 0.0 },
         used: view.part(view.at_work_milli()),
     }
@@ -235,7 +239,7 @@
     };
     let (strain, room, borne) = told(holding, view, ready.task, now);
     let percent = (borne * 1e2).clamp(LEAST_SHARE, 1e2) as u8;
-    holding.relieved += 1;
+    holding.starvation_starts += 1;
     tracing::info!(
         task = %ready.task,
         waited_ms = worker::millis(now.saturating_sub(ready.since)),
@@ -243,18 +247,18 @@
         share = percent,
         strain,
         room,
-        rests = view.rests(now),
+        rests = view.is_quarantined(now),
         kept = holding.kept_for.contains(&worker),
         fills = step.fills,
-        relieved = holding.relieved,
+        relieved = holding.starvation_starts,
         "started in need"
     );
     let view = holding.views.get_mut(&worker);
     if let Some(filling) = view.and_then(|view| view.filling.get_mut(&ready.task)) {
         filling.percent = percent;
-        filling.eased = percent < 100;
-        filling.paced |= filling.eased;
-        filling.untold = filling.eased;
+        filling.started_throttled = percent < 100;
+        filling.paced |= filling.started_throttled;
+        filling.share_unsent = filling.started_throttled;
     }
     holding.refresh_headroom_of(&worker, now);
 }
@@ -273,7 +277,7 @@
     let part = view.part(filling.cpu_milli);
     // What is left is told with the task at work.
     let beside = holding.headroom(view, now).left.into_iter().map(|(serving, left)| {
-        let strain = holding.learned.harm.harm(serving, filling.image) * part;
+        let strain = holding.learned.interference.slope(serving, filling.image) * part;
         (left + strain, strain)
     });
     let beside: Vec<(f64, f64)> = beside.collect();
--- a/crates/wharflane/src/job/tickets.rs
+++ b/crates/wharflane/src/job/tickets.rs
@@ -12,7 +12,7 @@
 
 /// How long the advice service takes for a queue, and how long its tickets hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Terms {
+pub struct AdviceTiming {
     /// What it takes for a question.
     pub decide: time::Duration,
     /// What it takes beyond that for each worker named.
@@ -23,7 +23,7 @@
 
 /// A question: which of these workers may run the tasks of a step.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct AdviceRequest {
     /// The job.
     pub job: spec::JobId,
     /// The round.
@@ -31,7 +31,7 @@
     /// The step.
     pub step: u32,
     /// The workers.
-    pub workers: Vec<id::Life>,
+    pub workers: Vec<id::Incarnation>,
     /// How long the answer may take.
     pub timeout: time::Duration,
 }
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advice {
     /// The workers and their tickets.
-    pub good: Vec<(id::Life, String)>,
+    pub good: Vec<(id::Incarnation, String)>,
     /// How long the tickets hold.
     pub valid: time::Duration,
 }
@@ -58,9 +58,9 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Known {
     /// Workers that may run it.
-    pub good: collections::BTreeMap<id::Life, Ticket>,
+    pub good: collections::BTreeMap<id::Incarnation, Ticket>,
     /// Workers that may not; that does not change.
-    pub bad: collections::BTreeSet<id::Life>,
+    pub bad: collections::BTreeSet<id::Incarnation>,
     /// Whether a question is under way.
     pub asked: bool,
     /// When the next question may be asked.
@@ -86,13 +86,18 @@
 
 impl Tickets {
     /// Returns the ticket for a task on a worker, as long as it can be used.
-    pub fn get(&self, task: spec::TaskId, worker: &id::Life, now: time::Duration) -> Option<&str> {
+    pub fn get(
+        &self,
+        task: spec::TaskId,
+        worker: &id::Incarnation,
+        now: time::Duration,
+    ) -> Option<&str> {
         let ticket = self.steps.get(&group::group(task))?.good.get(worker)?;
         (now < ticket.until).then_some(&ticket.text)
     }
 
     /// Forgets a ticket that a worker did not take.
-    pub fn refused(&mut self, task: spec::TaskId, worker: &id::Life) {
+    pub fn refused(&mut self, task: spec::TaskId, worker: &id::Incarnation) {
         if let Some(known) = self.steps.get_mut(&group::group(task)) {
             known.good.remove(worker);
         }
--- a/crates/wharflane/src/job/unlisted.rs
+++ b/crates/wharflane/src/job/unlisted.rs
@@ -26,7 +26,7 @@
 
     /// Returns whether the row lacks a worker and may be written.
     pub(super) fn lacks_unlisted(&self, now: time::Duration) -> bool {
-        now >= self.caution.extras_from
+        now >= self.commit_limits.extras_from
             && self.soon_unlisted().iter().any(|unlisted| !self.unlisted.contains(unlisted))
     }
 
@@ -56,11 +56,11 @@
             }
         }
         for unlisted in self.unlisted.clone() {
-            if self.views.keys().any(|known| known.worker == unlisted.life.worker) {
+            if self.views.keys().any(|known| known.worker == unlisted.incarnation.worker) {
                 continue;
             }
-            tracing::info!(worker = %unlisted.life, addr = %unlisted.addr, "worker known from before");
-            self.begin_life(unlisted.member(), false, now);
+            tracing::info!(worker = %unlisted.incarnation, addr = %unlisted.addr, "worker known from before");
+            self.begin_incarnation(unlisted.member(), false, now);
         }
     }
 }
--- a/crates/wharflane/src/job/waits.rs
+++ b/crates/wharflane/src/job/waits.rs
@@ -67,7 +67,7 @@
         step: &spec::Step,
         now: time::Duration,
     ) -> collections::BTreeMap<obstacle::Obstacle, usize> {
-        let image = self.learned.harm.image(step.image.as_deref());
+        let image = self.learned.interference.image(step.image.as_deref());
         let mut counts = collections::BTreeMap::new();
         let Some(entry) = self.jobs.get(&task.job) else {
             return counts;
@@ -80,10 +80,10 @@
                 none.then_some(obstacle::Obstacle::Harm)
             };
             let kept = || {
-                let kept = self.kept_for.contains(&view.member.life);
+                let kept = self.kept_for.contains(&view.member.incarnation);
                 kept.then_some(obstacle::Obstacle::Kept)
             };
-            let ticket = || self.without_ticket(&entry.job, task, &view.member.life, now);
+            let ticket = || self.without_ticket(&entry.job, task, &view.member.incarnation, now);
             let plain = obstacle::plain(view, service, task, step, view.takes(task, now));
             if let Some(obstacle) = plain.or_else(kept).or_else(ticket).or_else(harm) {
                 *counts.entry(obstacle).or_default() += 1;
--- a/crates/wharflane/src/job/work.rs
+++ b/crates/wharflane/src/job/work.rs
@@ -16,7 +16,7 @@
     /// What was handed in.
     pub job: sync::Arc<spec::Job>,
     /// The version of its row when it was accepted; earlier jobs have lower ones.
-    pub order: u64,
+    pub accepted_version: u64,
     /// The version of its row as it was read last.
     pub version: u64,
     /// When it was accepted, in milliseconds since 1970.
@@ -63,11 +63,11 @@
 #[derive(Clone, Debug)]
 pub(super) struct Placed {
     /// The worker.
-    pub worker: id::Life,
+    pub worker: id::Incarnation,
     /// The number of the start.
     pub run: u32,
     /// What is known of the start.
-    pub link: Link,
+    pub start_state: StartState,
     /// Until when an order for it may still be carried out, by the worker's clock.
     pub lease_until_ms: u64,
     /// What is in doubt about its start.
@@ -81,12 +81,12 @@
 }
 
 impl Placed {
-    /// Returns what is known of a task on a life that may have been given an order for a life before it.
-    pub fn orphaned(life: id::Life, before: &Self, now: time::Duration) -> Self {
+    /// Returns what is known of a task on an incarnation that may have been given an order for an incarnation before it.
+    pub fn orphaned(incarnation: id::Incarnation, before: &Self, now: time::Duration) -> Self {
         Self {
-            worker: life,
+            worker: incarnation,
             run: before.run,
-            link: Link::Orphaned,
+            start_state: StartState::Orphaned,
             lease_until_ms: 0,
             doubt: Doubt { unanswered: 0, fence: before.doubt.fence },
             began: None,
@@ -107,21 +107,21 @@
 
 /// What is known of a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Link {
+pub(super) enum StartState {
     /// It is not committed yet.
     Staged,
     /// The order is under way.
     Ordered,
     /// The order had no answer and is given again at a time.
-    Doubtful(time::Duration),
+    Unanswered(time::Duration),
     /// One order had no answer and a later one was refused: the first may still be carried out, so the
     /// task waits until the lease that it brings is over.
-    Lapsing,
+    Expiring,
     /// The worker has it, as it said at a time.
-    There(time::Duration),
+    Confirmed(time::Duration),
     /// An earlier holder ordered it.
     Inherited,
-    /// It was ordered from a life of the worker that is over, and the order may have reached this one.
+    /// It was ordered from an incarnation of the worker that is over, and the order may have reached this one.
     Orphaned,
 }
 
@@ -135,9 +135,9 @@
     /// Whether it runs until its job is cancelled.
     pub lasting: bool,
     /// Whether it was at work before.
-    pub returns: bool,
+    pub has_run: bool,
     /// Earlier jobs have lower ones.
-    pub order: u64,
+    pub accepted_version: u64,
     /// Since when it waits.
     pub since: time::Duration,
 }
--- a/crates/wharflane/src/job/worker.rs
+++ b/crates/wharflane/src/job/worker.rs
@@ -4,7 +4,7 @@
 use std::time;
 
 use super::crash;
-use super::harm;
+use super::interference;
 use super::order;
 use super::spec;
 use crate::size;
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Serving {
     /// What it runs.
-    pub image: harm::Image,
+    pub image: interference::Image,
     /// The tail to keep.
     pub target_ms: u64,
 }
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Filling {
     /// What it runs.
-    pub image: harm::Image,
+    pub image: interference::Image,
     /// The processors that it asks for.
     pub cpu_milli: u64,
     /// The share at which it works.
@@ -44,9 +44,9 @@
     /// Whether it was ever held back.
     pub paced: bool,
     /// Whether it was started in need and never worked at full speed.
-    pub eased: bool,
+    pub started_throttled: bool,
     /// Whether the share is to be ordered as soon as the task is there.
-    pub untold: bool,
+    pub share_unsent: bool,
     /// Since when it is held back so far that it had better move.
     pub low_since: Option<time::Duration>,
 }
@@ -95,7 +95,7 @@
     /// Whether one of them misses its target.
     pub missed: bool,
     /// The strain that each has left.
-    pub left: Vec<(harm::Image, f64)>,
+    pub left: Vec<(interference::Image, f64)>,
 }
 
 /// What may run on a worker by orders and leases from before this holder knew it.
@@ -107,7 +107,7 @@
     pub until: time::Duration,
 }
 
-/// A life of a worker as its holder sees it.
+/// An incarnation of a worker as its holder sees it.
 #[derive(Debug)]
 pub(super) struct View {
     /// The worker as it was listed last.
@@ -133,9 +133,9 @@
     /// The last end that its last answer told; zero where that told none.
     pub told: u64,
     /// When the look under way was sent.
-    pub look: Option<time::Duration>,
+    pub heartbeat_sent: Option<time::Duration>,
     /// When the next look is due.
-    pub look_due: time::Duration,
+    pub heartbeat_due: time::Duration,
     /// Looks in a row without an answer.
     pub misses: u32,
     /// The room that is set aside.
@@ -183,8 +183,8 @@
             unrecorded: collections::BTreeSet::new(),
             heard: 0,
             told: 0,
-            look: None,
-            look_due: time::Duration::ZERO,
+            heartbeat_sent: None,
+            heartbeat_due: time::Duration::ZERO,
             misses: 0,
             used: size::Size::default(),
             strays: size::Size::default(),
@@ -236,11 +236,11 @@
 
     /// Returns whether a new task may go there.
     pub fn takes(&self, task: spec::TaskId, now: time::Duration) -> bool {
-        self.takes_in_need(task, now) && !self.rests(now)
+        self.takes_in_need(task, now) && !self.is_quarantined(now)
     }
 
     /// Returns whether it rests, since runs failed or stood still there.
-    pub fn rests(&self, now: time::Duration) -> bool {
+    pub fn is_quarantined(&self, now: time::Duration) -> bool {
         now < self.unsound_until
     }
 
@@ -265,11 +265,11 @@
 
     /// Returns whether it gets nothing new for now, whatever waits.
     pub fn is_closed_to_all(&self, now: time::Duration) -> bool {
-        !self.is_available(now) || self.rests(now) || self.alone.is_some()
+        !self.is_available(now) || self.is_quarantined(now) || self.alone.is_some()
     }
 
     /// Returns the last end that the worker is to forget: all up to it are committed. None is named where the worker
-    /// has forgotten them already, or may have started again since its last answer: the next life numbers its ends from one.
+    /// has forgotten them already, or may have started again since its last answer: the next incarnation numbers its ends from one.
     pub fn seen(&self) -> u64 {
         let committed = self.unrecorded.first().map_or(self.heard, |first| first - 1);
         if self.misses > 0 { 0 } else { committed.min(self.told) }
@@ -318,7 +318,7 @@
             order::EndKind::Failed => {
                 self.failures += 1;
                 if self.failures >= FAILURES_BEFORE_REST {
-                    self.rest(now);
+                    self.quarantine(now);
                 }
             }
             _ => {}
@@ -326,12 +326,12 @@
     }
 
     /// Gives it nothing new for a while.
-    pub fn rest(&mut self, now: time::Duration) {
+    pub fn quarantine(&mut self, now: time::Duration) {
         self.unsound_until = now + REST;
     }
 
     /// Sets room aside for a task.
-    pub fn add(&mut self, task: spec::TaskId, step: &spec::Step, image: harm::Image) {
+    pub fn add(&mut self, task: spec::TaskId, step: &spec::Step, image: interference::Image) {
         if self.tasks.insert(task) {
             self.headroom = None;
             if let Some(target_ms) = step.target_ms {
@@ -344,8 +344,8 @@
                     cpu_milli,
                     percent: 100,
                     paced: false,
-                    eased: false,
-                    untold: false,
+                    started_throttled: false,
+                    share_unsent: false,
                     low_since: None,
                 };
                 self.filling.insert(task, filling);
--- a/crates/wharflane/src/latency.rs
+++ b/crates/wharflane/src/latency.rs
@@ -9,24 +9,24 @@
 /// How much each bucket is wider than the one before.
 const GROWTH: f64 = 1.25;
 
-/// Latencies of one interval.
+/// Histogram of one interval.
 #[derive(Clone, Debug)]
-pub struct Latencies {
+pub struct Histogram {
     /// The count of each bucket.
     counts: [u32; BUCKETS],
     /// The count of all.
     total: u32,
 }
 
-impl Default for Latencies {
+impl Default for Histogram {
     fn default() -> Self {
         Self { counts: [0; BUCKETS], total: 0 }
     }
 }
 
-impl Latencies {
+impl Histogram {
     /// Notes a latency.
-    pub fn note(&mut self, latency: time::Duration) {
+    pub fn record(&mut self, latency: time::Duration) {
         let us = latency.as_micros() as f64;
         let at = (us / FIRST_US).max(1.0).log(GROWTH).ceil();
         self.counts[(at as usize).min(BUCKETS - 1)] += 1;
--- a/crates/wharflane/src/outcome.rs
+++ b/crates/wharflane/src/outcome.rs
@@ -62,40 +62,40 @@
 
 /// The story of a request over all its tries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tries {
-    /// Tries that did not leave this host.
+pub struct Attempts {
+    /// Attempts that did not leave this host.
     pub unsent: u32,
-    /// Tries that an endpoint refused with its promise.
+    /// Attempts that an endpoint refused with its promise.
     pub refused: u32,
-    /// Tries that may have run.
-    pub open: u32,
+    /// Attempts that may have run.
+    pub may_have_run: u32,
 }
 
-impl Tries {
+impl Attempts {
     /// Notes the end of a try.
     pub fn note(&mut self, failure: Failure) {
         match failure {
             Failure::NotSent => self.unsent += 1,
             Failure::Refused => self.refused += 1,
-            Failure::Lost | Failure::TimedOut => self.open += 1,
+            Failure::Lost | Failure::TimedOut => self.may_have_run += 1,
         }
     }
 
     /// Returns how many tries count against the most that are made.
     #[must_use]
     pub fn made(&self) -> u32 {
-        self.unsent + self.open
+        self.unsent + self.may_have_run
     }
 
     /// Returns whether the request may be sent once more.
     #[must_use]
     pub fn may_repeat(&self, repeatable: bool) -> bool {
-        repeatable || self.open == 0
+        repeatable || self.may_have_run == 0
     }
 
     /// Returns what the caller is told when no more tries are made.
     #[must_use]
     pub fn outcome(&self) -> Outcome {
-        if self.open == 0 { Outcome::NotRun } else { Outcome::Unknown }
+        if self.may_have_run == 0 { Outcome::NotRun } else { Outcome::Unknown }
     }
 }
--- a/crates/wharflane/src/retry.rs
+++ b/crates/wharflane/src/retry.rs
@@ -23,12 +23,12 @@
     }
 
     /// Notes a first try.
-    pub fn first(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.held_milli = (self.held_milli + self.share_milli).min(self.cap_milli);
     }
 
     /// Takes one retry out of the bucket if it holds one.
-    pub fn take(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         let has = self.held_milli >= WHOLE;
         if has {
             self.held_milli -= WHOLE;
--- a/crates/wharflane/src/route.rs
+++ b/crates/wharflane/src/route.rs
@@ -63,7 +63,7 @@
 
 /// How an endpoint may be used at a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
+pub enum Availability {
     /// As usual.
     Open,
     /// With one request at a time, to see whether it is well again.
@@ -111,11 +111,11 @@
 
     /// Returns how the endpoint may be used now.
     #[must_use]
-    pub fn usable(&self, now: time::Duration) -> Use {
+    pub fn availability(&self, now: time::Duration) -> Availability {
         match self.ejected_until {
-            None => Use::Open,
-            Some(until) if now < until => Use::Ejected,
-            Some(_) => Use::Probe,
+            None => Availability::Open,
+            Some(until) if now < until => Availability::Ejected,
+            Some(_) => Availability::Probe,
         }
     }
 
@@ -173,16 +173,16 @@
 
 /// Returns the cost of one more request at an endpoint, or nothing where it may take none.
 #[must_use]
-pub fn offer(health: &Health, cap: u32, now: time::Duration) -> Option<f64> {
-    match health.usable(now) {
-        Use::Open => {
+pub fn request_cost(health: &Health, cap: u32, now: time::Duration) -> Option<f64> {
+    match health.availability(now) {
+        Availability::Open => {
             let window = f64::from(cap).min(health.window) as u32;
             let room = health.in_flight < window && now >= health.full_until;
             room.then(|| health.cost())
         }
         // A probe costs one request and ends an ejection that has lasted long enough.
-        Use::Probe => (health.in_flight == 0).then_some(0.0),
-        Use::Ejected => None,
+        Availability::Probe => (health.in_flight == 0).then_some(0.0),
+        Availability::Ejected => None,
     }
 }
 
--- a/crates/wharflane/tests/advice.rs
+++ b/crates/wharflane/tests/advice.rs
@@ -9,8 +9,8 @@
 const JOB: u64 = 1;
 
 /// Returns the name of a worker.
-fn worker(at: usize) -> id::Life {
-    desk::member(at).life
+fn worker(at: usize) -> id::Incarnation {
+    desk::member(at).incarnation
 }
 
 /// Returns an engine with so many workers of which the last may run what advice is wanted for.
@@ -23,7 +23,7 @@
 }
 
 /// Returns worker and ticket of each start.
-fn shown(desk: &desk::Desk) -> Vec<(id::Life, String)> {
+fn shown(desk: &desk::Desk) -> Vec<(id::Incarnation, String)> {
     let starts = desk.asked.iter().filter_map(|effect| match effect {
         job::Effect::Start(start) => Some((start.order.worker.clone(), start.ticket.clone())),
         _ => None,
--- a/crates/wharflane/tests/apart.rs
+++ b/crates/wharflane/tests/apart.rs
@@ -35,7 +35,7 @@
 
 /// Lets an idle worker go, of those that had nothing so far.
 fn lose_idle(desk: &mut desk::Desk, at: usize) {
-    gone(desk, &desk::member(at).life);
+    gone(desk, &desk::member(at).incarnation);
 }
 
 /// Lets the task lose three workers, each after it was at work for a while.
@@ -113,7 +113,7 @@
         desk.submit(JOB, "first", lasting());
         desk.pass(300, false);
         let lost = desk.order_of(task(JOB)).worker.worker;
-        let at = (0..6).find(|at| desk::member(*at).life.worker == lost).expect("a worker");
+        let at = (0..6).find(|at| desk::member(*at).incarnation.worker == lost).expect("a worker");
         for other in 0..30 {
             desk.submit(JOB + 1 + other, "first", desk::step("plain", 500));
         }
--- a/crates/wharflane/tests/bounds.rs
+++ b/crates/wharflane/tests/bounds.rs
@@ -60,7 +60,7 @@
 /// Returns the bytes of a row of 100 tasks that all are so.
 fn row_bytes(state: &job::Task) -> usize {
     let step = small(100);
-    let place = |index| job::Place { round: 0, step: 0, index };
+    let place = |index| job::TaskPosition { round: 0, step: 0, index };
     let tasks = (0..100).map(|index| (place(index), state.clone())).collect();
     let progress = job::Progress { phase: job::Phase::Running, tasks };
     let job = job::Job {
@@ -83,7 +83,7 @@
     // Rows are written at each start and end of their tasks: on hosts of 2 Mbit/s with 46 bytes a task they took
     // as much as starts and looks together.
     a_task_that_runs_takes_few_bytes_of_its_row => {
-        let worker: id::Life = "i-0123456789".into();
+        let worker: id::Incarnation = "i-0123456789".into();
         let running = job::Task { run: 1, worker: Some(worker), ..job::Task::default() };
         let bytes = row_bytes(&running);
         assert!(bytes < 2_800, "{bytes} bytes for 100 tasks");
@@ -93,7 +93,7 @@
         assert!(bytes < 60, "{bytes} bytes for 100 tasks");
     },
     tasks_of_which_much_is_known_fit_a_row => {
-        let worker: id::Life = "w".repeat(200).as_str().into();
+        let worker: id::Incarnation = "w".repeat(200).as_str().into();
         let state = job::Task {
             run: 1_000_000,
             failed_runs: [999_998, 999_999].into(),
@@ -224,9 +224,9 @@
 }
 
 /// Returns the last end that any look at a worker has acknowledged.
-fn seen(desk: &desk::Desk, worker: &id::Life) -> u64 {
-    let looks = desk.seen.iter().filter(|(at, _)| at == worker);
-    looks.map(|(_, seen)| *seen).max().expect("a look")
+fn seen(desk: &desk::Desk, worker: &id::Incarnation) -> u64 {
+    let heartbeats = desk.seen.iter().filter(|(at, _)| at == worker);
+    heartbeats.map(|(_, seen)| *seen).max().expect("a look")
 }
 
 /// The bound of this file is that of the stand-in's store.
--- a/crates/wharflane/tests/cancel.rs
+++ b/crates/wharflane/tests/cancel.rs
@@ -31,7 +31,7 @@
     /// The workers.
     workers: Vec<worker::Worker>,
     /// Looks that wait for an end, with when they must be answered.
-    looks: Vec<(time::Duration, job::Look)>,
+    heartbeats: Vec<(time::Duration, job::Heartbeat)>,
     /// What the engine will be told, and when.
     back: Vec<(time::Duration, job::Event)>,
     /// The only step of each job that is handed in.
@@ -45,13 +45,13 @@
     /// How many stops more are lost.
     lost_stops: usize,
     /// Looks at the first worker that come back within this time have no answer.
-    lost_looks: (time::Duration, time::Duration),
+    lost_heartbeats: (time::Duration, time::Duration),
     /// Whether they are lost on the way there, rather than on the way back.
     lost_on_the_way: bool,
     /// The starts that were ordered, and what was known of their worker then.
     ordered: Vec<Ordered>,
     /// The highest fence that each worker has answered a look of.
-    answered: collections::BTreeMap<id::Life, u64>,
+    answered: collections::BTreeMap<id::Incarnation, u64>,
     /// When runs began that were carried out late.
     began_late: Vec<time::Duration>,
     /// The most workers that ran the task of one job at once.
@@ -63,7 +63,7 @@
     /// The order.
     start: job::Start,
     /// The highest fences answered by then.
-    answered: collections::BTreeMap<id::Life, u64>,
+    answered: collections::BTreeMap<id::Incarnation, u64>,
     /// What the clock of the first worker showed.
     clock_ms: u64,
 }
@@ -85,17 +85,17 @@
     /// Makes a floor with so many workers, whose clocks are slow.
     fn new(workers: usize) -> Self {
         let member = |at| desk::member(at);
-        let worker = |at| worker::Worker::new(member(at).life, member(at).capacity, 980);
+        let worker = |at| worker::Worker::new(member(at).incarnation, member(at).capacity, 980);
         Self {
             desk: desk::Desk::new(workers, Vec::new()),
             workers: (0..workers).map(worker).collect(),
-            looks: Vec::new(),
+            heartbeats: Vec::new(),
             back: Vec::new(),
             step: desk::step("serving", 1_000),
             fates: collections::VecDeque::new(),
             late: Vec::new(),
             lost_stops: 0,
-            lost_looks: Default::default(),
+            lost_heartbeats: Default::default(),
             lost_on_the_way: false,
             ordered: Vec::new(),
             answered: collections::BTreeMap::new(),
@@ -120,7 +120,7 @@
         self.workers.iter_mut().for_each(|worker| worker.tick(now));
         self.start_late();
         self.most_at_once = self.most_at_once.max(self.run_on(1).len());
-        self.answer_looks();
+        self.answer_heartbeats();
         let (due, later) = std::mem::take(&mut self.back).into_iter().partition(|b| b.0 <= now);
         self.back = later;
         let due: Vec<(time::Duration, job::Event)> = due;
@@ -142,7 +142,9 @@
                 self.back.push((now + UNANSWERED, job::Event::StopNotTaken(order)));
             }
             job::Effect::Stop(order) => self.stop(order),
-            job::Effect::Look(look) => self.looks.push((now + look.wait, look)),
+            job::Effect::SendHeartbeat(heartbeat) => {
+                self.heartbeats.push((now + heartbeat.wait, heartbeat))
+            }
             _ => {}
         }
     }
@@ -204,44 +206,45 @@
     }
 
     /// Answers the looks whose time has come.
-    fn answer_looks(&mut self) {
+    fn answer_heartbeats(&mut self) {
         let now = self.desk.now;
-        for (latest, look) in std::mem::take(&mut self.looks) {
-            let lost = look.worker == desk::member(0).life
-                && (self.lost_looks.0..self.lost_looks.1).contains(&now);
+        for (latest, heartbeat) in std::mem::take(&mut self.heartbeats) {
+            let lost = heartbeat.worker == desk::member(0).incarnation
+                && (self.lost_heartbeats.0..self.lost_heartbeats.1).contains(&now);
             if lost && self.lost_on_the_way {
-                let (worker, epoch) = (look.worker, look.epoch);
-                let answer = job::LookAnswer::Silent;
-                let event = job::Event::Looked { worker, epoch, answer };
+                let (worker, epoch) = (heartbeat.worker, heartbeat.epoch);
+                let answer = job::HeartbeatAnswer::Silent;
+                let event = job::Event::HeartbeatAnswered { worker, epoch, answer };
                 self.back.push((now + UNANSWERED, event));
                 continue;
             }
-            let answer = self.worker(&look.worker).look(&look, now);
-            let news = matches!(&answer, job::LookAnswer::Lists(lists) if !lists.ended.is_empty());
+            let answer = self.worker(&heartbeat.worker).handle_heartbeat(&heartbeat, now);
+            let news =
+                matches!(&answer, job::HeartbeatAnswer::Lists(lists) if !lists.ended.is_empty());
             if !news && now < latest {
-                self.looks.push((latest, look));
+                self.heartbeats.push((latest, heartbeat));
                 continue;
             }
-            let (worker, epoch) = (look.worker, look.epoch);
+            let (worker, epoch) = (heartbeat.worker, heartbeat.epoch);
             let (after, answer) = if lost {
-                (UNANSWERED, job::LookAnswer::Silent)
+                (UNANSWERED, job::HeartbeatAnswer::Silent)
             } else {
                 self.answered.insert(worker.clone(), epoch);
                 (time::Duration::ZERO, answer)
             };
-            self.back.push((now + after, job::Event::Looked { worker, epoch, answer }));
+            self.back.push((now + after, job::Event::HeartbeatAnswered { worker, epoch, answer }));
         }
     }
 
     /// Returns a worker.
-    fn worker(&mut self, id: &id::Life) -> &mut worker::Worker {
-        self.workers.iter_mut().find(|worker| worker.life == *id).expect("a worker")
+    fn worker(&mut self, id: &id::Incarnation) -> &mut worker::Worker {
+        self.workers.iter_mut().find(|worker| worker.incarnation == *id).expect("a worker")
     }
 
     /// Returns the workers that run the only task of a job.
-    fn run_on(&self, job: u64) -> Vec<id::Life> {
+    fn run_on(&self, job: u64) -> Vec<id::Incarnation> {
         let here = |worker: &&worker::Worker| worker.running().any(|(task, _)| task == first(job));
-        self.workers.iter().filter(here).map(|worker| worker.life.clone()).collect()
+        self.workers.iter().filter(here).map(|worker| worker.incarnation.clone()).collect()
     }
 
     /// Returns the last two starts of the first job.
@@ -255,14 +258,14 @@
     }
 
     /// Hands a job in and waits until its task runs; returns where.
-    fn submit(&mut self, job: u64) -> id::Life {
+    fn submit(&mut self, job: u64) -> id::Incarnation {
         self.desk.submit(job, "first", self.step.clone());
         self.pass(300);
         self.run_on(job).first().expect("a started task").clone()
     }
 
     /// Takes a worker from the store's list, which serves on.
-    fn unlist(&mut self, worker: &id::Life) {
+    fn unlist(&mut self, worker: &id::Incarnation) {
         self.desk.take(job::Event::Member(worker.worker.clone(), None));
     }
 
@@ -289,18 +292,20 @@
     /// another host find that out, which lists only some workers; returns when.
     fn replace_holder(
         &mut self,
-        seen: &id::Life,
+        seen: &id::Incarnation,
         (job, cancelled): (u64, bool),
         listed: &[usize],
     ) -> time::Duration {
-        while !self.looks.iter().any(|(latest, look)| {
-            look.worker == *seen && *latest >= self.desk.now + look.wait && !look.wait.is_zero()
+        while !self.heartbeats.iter().any(|(latest, heartbeat)| {
+            heartbeat.worker == *seen
+                && *latest >= self.desk.now + heartbeat.wait
+                && !heartbeat.wait.is_zero()
         }) {
             self.step();
         }
-        self.answer_looks();
+        self.answer_heartbeats();
         let removed = self.desk.now;
-        self.looks.clear();
+        self.heartbeats.clear();
         self.back.clear();
         let jobs = self.row(job, cancelled);
         let lease = self.desk.rows[&(job::LEASES, job::lease_key(0).name)].clone();
@@ -316,7 +321,7 @@
             self.step();
         }
         let version = row.map_or(0, |(version, _)| version);
-        self.desk.take(job::Event::Probed { version, sign: job::Sign::Refused });
+        self.desk.take(job::Event::Probed { version, sign: job::ProbeResult::Refused });
         let progress = self.desk.table(job::PROGRESS);
         let learned = self.desk.table(job::LEARNED);
         self.desk.take(job::Event::Closed(job::ClosedHalls::default()));
@@ -344,7 +349,7 @@
 /// many stops lost and the looks of a while after the cancel, on the way there or back.
 fn longest_late_run(
     lost_stops: usize,
-    lost_looks_ms: u64,
+    lost_heartbeats_ms: u64,
     lost_on_the_way: bool,
 ) -> time::Duration {
     let ran = |late_ms: u64| {
@@ -355,8 +360,8 @@
         floor.pass(300);
         floor.cancel(1);
         floor.lost_stops = lost_stops;
-        let lost_looks = time::Duration::from_millis(lost_looks_ms);
-        floor.lost_looks = (floor.desk.now, floor.desk.now + lost_looks);
+        let lost_heartbeats = time::Duration::from_millis(lost_heartbeats_ms);
+        floor.lost_heartbeats = (floor.desk.now, floor.desk.now + lost_heartbeats);
         floor.lost_on_the_way = lost_on_the_way;
         floor.pass(late_ms);
         let began = floor.began_late.first().copied();
@@ -367,18 +372,22 @@
 
 /// Orders a start that has no answer and is carried out late, and again, which is refused; returns the floor
 /// with a second worker, and looks at the first that have no answer for so long.
-fn refused_after_a_late_one(lost_looks_ms: u64, lost_on_the_way: bool) -> Floor {
+fn refused_after_a_late_one(lost_heartbeats_ms: u64, lost_on_the_way: bool) -> Floor {
     let refused = job::StartAnswer::Refused(job::StartRefusal::Room);
     let mut floor = Floor::new(1);
     floor.submit(2);
     floor.fates = [Fate::Late(3_900), Fate::Answered(refused)].into();
     floor.desk.submit(1, "first", floor.step.clone());
     floor.pass(500);
-    let lost_looks = time::Duration::from_millis(lost_looks_ms);
-    floor.lost_looks = (floor.desk.now, floor.desk.now + lost_looks);
+    let lost_heartbeats = time::Duration::from_millis(lost_heartbeats_ms);
+    floor.lost_heartbeats = (floor.desk.now, floor.desk.now + lost_heartbeats);
     floor.lost_on_the_way = lost_on_the_way;
-    floor.workers.push(worker::Worker::new(desk::member(1).life, desk::member(1).capacity, 980));
-    floor.desk.take(job::Event::Member(desk::member(1).life.worker, Some(desk::member(1))));
+    floor.workers.push(worker::Worker::new(
+        desk::member(1).incarnation,
+        desk::member(1).capacity,
+        980,
+    ));
+    floor.desk.take(job::Event::Member(desk::member(1).incarnation.worker, Some(desk::member(1))));
     floor.pass(15_000);
     floor
 }
@@ -421,8 +430,8 @@
         assert!(ran <= CONTACT + worker::STOP, "it ran for {ran:?}");
     },
     so_it_is_where_looks_have_no_answer => {
-        for (lost_looks_ms, lost_on_the_way) in [(1_500, false), (2_500, true)] {
-            let ran = longest_late_run(1, lost_looks_ms, lost_on_the_way);
+        for (lost_heartbeats_ms, lost_on_the_way) in [(1_500, false), (2_500, true)] {
+            let ran = longest_late_run(1, lost_heartbeats_ms, lost_on_the_way);
             assert!(ran.is_zero(), "where a look or a stop arrives, none begins, but one ran for {ran:?}");
         }
         for lost_stops in 2..=4 {
@@ -438,12 +447,12 @@
         floor.desk.submit(1, "first", floor.step.clone());
         floor.pass(2_000);
         // The worker is full from here on, so that the task must go to another one.
-        floor.workers.push(worker::Worker::new(desk::member(1).life, desk::member(1).capacity, 980));
+        floor.workers.push(worker::Worker::new(desk::member(1).incarnation, desk::member(1).capacity, 980));
         floor.step = desk::step("serving", 14_000);
         floor.submit(3);
         floor.step = desk::step("serving", 1_000);
-        floor.desk.take(job::Event::Member(desk::member(1).life.worker, Some(desk::member(1))));
-        floor.lost_looks = (floor.desk.now, floor.desk.now + time::Duration::from_millis(4_000));
+        floor.desk.take(job::Event::Member(desk::member(1).incarnation.worker, Some(desk::member(1))));
+        floor.lost_heartbeats = (floor.desk.now, floor.desk.now + time::Duration::from_millis(4_000));
         floor.pass(10_000);
         assert_eq!(floor.run_on(1).len(), 1, "it runs");
         assert_eq!(floor.most_at_once, 1, "it ran on two workers at once");
@@ -454,9 +463,9 @@
         floor.fates = [Fate::Lost; 20].into();
         floor.desk.submit(1, "first", floor.step.clone());
         floor.pass(500);
-        let first_one = desk::member(0).life;
-        floor.workers.push(worker::Worker::new(desk::member(1).life, desk::member(1).capacity, 980));
-        floor.desk.take(job::Event::Member(desk::member(1).life.worker, Some(desk::member(1))));
+        let first_one = desk::member(0).incarnation;
+        floor.workers.push(worker::Worker::new(desk::member(1).incarnation, desk::member(1).capacity, 980));
+        floor.desk.take(job::Event::Member(desk::member(1).incarnation.worker, Some(desk::member(1))));
         for _ in 0..100 {
             floor.pass(100);
             if floor.ordered.iter().any(|ordered| ordered.start.order.worker != first_one) {
@@ -510,9 +519,9 @@
         floor.pass(3_500);
         assert_eq!(floor.began_late, [], "the fence was raised");
         let worker = desk::member(0);
-        floor.unlist(&worker.life);
+        floor.unlist(&worker.incarnation);
         floor.pass(500);
-        floor.desk.take(job::Event::Member(worker.life.worker.clone(), Some(worker)));
+        floor.desk.take(job::Event::Member(worker.incarnation.worker.clone(), Some(worker)));
         floor.pass(500);
         floor.submit(2);
         assert!(floor.desk.engine.holding().is_some(), "the holder took itself for deposed");
--- a/crates/wharflane/tests/closed_halls.rs
+++ b/crates/wharflane/tests/closed_halls.rs
@@ -47,7 +47,7 @@
 /// Returns the hall of the worker that a task was started on last.
 fn hall_of(desk: &desk::Desk, task: job::TaskId) -> &'static str {
     let worker = desk.order_of(task).worker;
-    let at = (0..8).find(|at| in_hall(*at).life == worker).expect("a worker of these tests");
+    let at = (0..8).find(|at| in_hall(*at).incarnation == worker).expect("a worker of these tests");
     HALLS[at % HALLS.len()]
 }
 
@@ -113,7 +113,7 @@
         desk.answers.push_back(job::StartAnswer::Silent);
         desk.submit(1, "first", tasks(1));
         desk.pass(100, false);
-        desk.take(job::Event::Member(in_hall(1).life.worker, Some(in_hall(1))));
+        desk.take(job::Event::Member(in_hall(1).incarnation.worker, Some(in_hall(1))));
         close(&mut desk, &["north"]);
         desk.pass(1_000, false);
         assert_eq!(desk.starts(1).len(), 1);
@@ -138,10 +138,10 @@
         desk.submit(1, "first", tasks(1));
         desk.pass(100, false);
         close(&mut desk, &["north"]);
-        desk.looked.clear();
+        desk.heartbeats_sent.clear();
         desk.pass(4_000, false);
         assert_eq!(desk.stops.len(), 0);
-        assert!(desk.looked.len() > 10, "its lease is renewed: {:?}", desk.looked);
+        assert!(desk.heartbeats_sent.len() > 10, "its lease is renewed: {:?}", desk.heartbeats_sent);
         desk.end(task(1), job::EndKind::Done);
         desk.pass(1_200, false);
         let key = (job::PROGRESS, job::JobId(1).to_string());
@@ -165,7 +165,7 @@
         let mut desk = desk_of(0);
         close(&mut desk, &["north"]);
         desk.submit(1, "first", tasks(1));
-        desk.take(job::Event::Member(in_hall(0).life.worker, Some(in_hall(0))));
+        desk.take(job::Event::Member(in_hall(0).incarnation.worker, Some(in_hall(0))));
         desk.pass(1_000, false);
         assert_eq!(desk.starts(1).len(), 0);
     },
@@ -219,7 +219,7 @@
     what_only_a_closed_hall_can_run_waits_and_the_rest_goes_on => {
         let mut desk = desk_of(2);
         let labelled = job::Member { labels: vec!["rare".to_owned()], ..in_hall(0) };
-        desk.take(job::Event::Member(labelled.life.worker.clone(), Some(labelled)));
+        desk.take(job::Event::Member(labelled.incarnation.worker.clone(), Some(labelled)));
         close(&mut desk, &["north"]);
         desk.submit(1, "first", job::Step { label: Some("rare".to_owned()), ..tasks(1) });
         desk.submit(2, "first", tasks(1));
--- a/crates/wharflane/tests/crashing_tasks.rs
+++ b/crates/wharflane/tests/crashing_tasks.rs
@@ -1,6 +1,6 @@
 //! Tasks under which workers crash, event by event.
 //!
-//! Seen: a worker that started a task was silent 11 ms after the order; 1.9 s later another life answered at its
+//! Seen: a worker that started a task was silent 11 ms after the order; 1.9 s later another incarnation answered at its
 //! address, the holder freed the task and 24 ms later ordered it on the next worker, some 30 times. Nothing counted,
 //! since only ends that a worker tells were attempts. This desk shows it with one holder and no other
 //! trouble.
@@ -104,7 +104,7 @@
         let partner = job::TaskId { index: 1, ..task(JOB) };
         for _ in 0..4 {
             let worker = desk.order_of(task(JOB)).worker;
-            let at = (0..10).find(|at| desk::member(*at).life == worker).expect("a worker");
+            let at = (0..10).find(|at| desk::member(*at).incarnation == worker).expect("a worker");
             let leaving = job::Member { leaving: true, ..desk::member(at) };
             desk.take(job::Event::Member(worker.worker, Some(leaving)));
             crash(&mut desk, JOB);
@@ -161,7 +161,7 @@
     a_worker_that_leaves_is_no_crash => {
         let mut desk = started(desk::step("plain", 1_000));
         let worker = desk.order_of(task(JOB)).worker;
-        let at = (0..10).find(|at| desk::member(*at).life == worker).expect("a worker");
+        let at = (0..10).find(|at| desk::member(*at).incarnation == worker).expect("a worker");
         let leaving = job::Member { leaving: true, ..desk::member(at) };
         desk.take(job::Event::Member(worker.worker, Some(leaving)));
         crash(&mut desk, JOB);
@@ -202,7 +202,7 @@
         desk.pass(100, false);
         assert_eq!(losses(&desk, JOB), job::Losses::default());
     },
-    a_start_that_another_life_turned_away_is_no_crash => {
+    a_start_that_another_incarnation_turned_away_is_no_crash => {
         let mut desk = desk::Desk::new(10, Vec::new());
         desk.answers.push_back(job::StartAnswer::Gone);
         desk.submit(JOB, "first", desk::step("plain", 1_000));
@@ -292,7 +292,7 @@
         let mut desk = started(desk::step("plain", 1_000));
         for _ in 0..3 {
             let on = desk.order_of(task(JOB)).worker;
-            let idle = (0..10).map(|at| desk::member(at).life).find(|life| *life != on);
+            let idle = (0..10).map(|at| desk::member(at).incarnation).find(|incarnation| *incarnation != on);
             gone(&mut desk, &idle.expect("a worker"));
             crash(&mut desk, JOB);
             desk.pass(100, false);
--- a/crates/wharflane/tests/desk/losses.rs
+++ b/crates/wharflane/tests/desk/losses.rs
@@ -4,7 +4,7 @@
 
 use super::Desk;
 
-/// How long a crashed worker is silent until another life answers, in milliseconds.
+/// How long a crashed worker is silent until another incarnation answers, in milliseconds.
 pub const AWAY_MS: u64 = 1_900;
 
 /// Returns the first task of a job.
@@ -12,8 +12,8 @@
     job::TaskId { job: job::JobId(job), round: 0, step: 0, index: 0 }
 }
 
-/// Lets the worker of a task's newest start crash, and another life come; returns the worker.
-pub fn crash(desk: &mut Desk, job: u64) -> id::Life {
+/// Lets the worker of a task's newest start crash, and another incarnation come; returns the worker.
+pub fn crash(desk: &mut Desk, job: u64) -> id::Incarnation {
     let worker = desk.order_of(task(job)).worker;
     desk.silent.insert(worker.clone());
     desk.pass(AWAY_MS, false);
@@ -21,21 +21,21 @@
     worker
 }
 
-/// Lets another life answer at a worker's address, and its entry go.
-pub fn gone(desk: &mut Desk, worker: &id::Life) {
+/// Lets another incarnation answer at a worker's address, and its entry go.
+pub fn gone(desk: &mut Desk, worker: &id::Incarnation) {
     turned_away(desk, worker);
     unlisted(desk, worker);
 }
 
-/// Lets another life answer at a worker's address.
-pub fn turned_away(desk: &mut Desk, worker: &id::Life) {
+/// Lets another incarnation answer at a worker's address.
+pub fn turned_away(desk: &mut Desk, worker: &id::Incarnation) {
     let epoch = desk.engine.holding().expect("a holder").dump().epoch;
-    let answer = job::LookAnswer::Gone;
-    desk.take(job::Event::Looked { worker: worker.clone(), epoch, answer });
+    let answer = job::HeartbeatAnswer::Gone;
+    desk.take(job::Event::HeartbeatAnswered { worker: worker.clone(), epoch, answer });
 }
 
 /// Lets the entry of a worker go.
-pub fn unlisted(desk: &mut Desk, worker: &id::Life) {
+pub fn unlisted(desk: &mut Desk, worker: &id::Incarnation) {
     desk.take(job::Event::Member(worker.worker.clone(), None));
 }
 
--- a/crates/wharflane/tests/desk/mod.rs
+++ b/crates/wharflane/tests/desk/mod.rs
@@ -37,13 +37,13 @@
     /// Orders and looks that were asked for and not answered yet.
     pub asked: Vec<job::Effect>,
     /// Runs that have ended, by worker.
-    pub over: Vec<(id::Life, job::Ended)>,
+    pub over: Vec<(id::Incarnation, job::Ended)>,
     /// Tables of rows that were removed, in order.
     pub removed: Vec<&'static str>,
     /// Workers that may run steps that advice is wanted for.
-    pub good: Vec<id::Life>,
+    pub good: Vec<id::Incarnation>,
     /// Questions that were asked.
-    pub questions: Vec<job::Question>,
+    pub questions: Vec<job::AdviceRequest>,
     /// How many questions more are not answered.
     pub unanswered: usize,
     /// Starts that were not taken.
@@ -59,9 +59,9 @@
     /// Stops that were ordered while time passed.
     pub stops: Vec<job::Order>,
     /// When looks were asked for, by worker.
-    pub looked: Vec<(time::Duration, id::Life)>,
+    pub heartbeats_sent: Vec<(time::Duration, id::Incarnation)>,
     /// The last end that each look acknowledged, by worker.
-    pub seen: Vec<(id::Life, u64)>,
+    pub seen: Vec<(id::Incarnation, u64)>,
     /// When commits were made.
     pub commits: Vec<time::Duration>,
     /// Shares that were ordered while time passed, with the time of the order.
@@ -69,11 +69,11 @@
     /// Returns the tail of a serving task, by the processors that are filled beside it, in thousandths.
     pub tail_ms: Option<fn(u64) -> u64>,
     /// The tails of serving tasks as looks told them, with the time and the worker.
-    pub tails: Vec<(time::Duration, id::Life, u64)>,
+    pub tails: Vec<(time::Duration, id::Incarnation, u64)>,
     /// How far the time of day is behind the time, in milliseconds.
     pub behind_ms: u64,
     /// Workers whose answers to looks don't come.
-    pub silent: collections::BTreeSet<id::Life>,
+    pub silent: collections::BTreeSet<id::Incarnation>,
     /// Returns whether the store leaves a transaction open; it stays among what was asked for.
     pub leaves_open: fn(&rows::Txn) -> bool,
 }
@@ -118,7 +118,7 @@
             refusals: 0,
             answers: collections::VecDeque::new(),
             stops: Vec::new(),
-            looked: Vec::new(),
+            heartbeats_sent: Vec::new(),
             seen: Vec::new(),
             commits: Vec::new(),
             paces: Vec::new(),
@@ -212,7 +212,7 @@
             self.now += time::Duration::from_millis(20);
             let wall_ms = u64::try_from(self.now.as_millis()).expect("a small number");
             if self.feed {
-                self.take(job::Event::Heard { up_to_ms: wall_ms });
+                self.take(job::Event::JobsReadUpTo { up_to_ms: wall_ms });
             }
             self.take(job::Event::Tick { wall_ms: wall_ms - self.behind_ms });
             for effect in std::mem::take(&mut self.asked) {
@@ -237,31 +237,33 @@
                         self.questions.push(question.clone());
                         self.take(job::Event::Advised { question, answer });
                     }
-                    job::Effect::Look(look) if self.silent.contains(&look.worker) => {
-                        let (worker, epoch) = (look.worker, look.epoch);
-                        let answer = job::LookAnswer::Silent;
-                        self.take(job::Event::Looked { worker, epoch, answer });
+                    job::Effect::SendHeartbeat(heartbeat)
+                        if self.silent.contains(&heartbeat.worker) =>
+                    {
+                        let (worker, epoch) = (heartbeat.worker, heartbeat.epoch);
+                        let answer = job::HeartbeatAnswer::Silent;
+                        self.take(job::Event::HeartbeatAnswered { worker, epoch, answer });
                     }
-                    job::Effect::Look(look) => {
-                        self.looked.push((self.now, look.worker.clone()));
-                        self.seen.push((look.worker.clone(), look.seen));
+                    job::Effect::SendHeartbeat(heartbeat) => {
+                        self.heartbeats_sent.push((self.now, heartbeat.worker.clone()));
+                        self.seen.push((heartbeat.worker.clone(), heartbeat.seen));
                         let clock_ms = u64::try_from(self.now.as_millis()).expect("a small number");
                         let here = |start: &&job::Start| {
-                            start.order.worker == look.worker && !self.is_over(&start.order)
+                            start.order.worker == heartbeat.worker && !self.is_over(&start.order)
                         };
                         let here: Vec<&job::Start> = started.iter().filter(here).collect();
                         let beside = here.iter().any(|start| start.order.task.job.0 == 2);
                         let row = |start: &&job::Start| row(start, harmed && beside);
                         let mut running: Vec<job::Running> = here.iter().map(row).collect();
-                        self.feel(&look.worker, &mut running);
+                        self.feel(&heartbeat.worker, &mut running);
                         // Work goes on, so that nothing counts as standing still.
                         running.iter_mut().for_each(|row| row.percent = clock_ms / 100 % 100);
-                        let ended = self.ends_of(&look);
-                        let born_ms = look.worker.born_ms;
+                        let ended = self.ends_of(&heartbeat);
+                        let born_ms = heartbeat.worker.born_ms;
                         let lists = job::Lists { born_ms, clock_ms, running, ended };
-                        let answer = job::LookAnswer::Lists(lists);
-                        let (worker, epoch) = (look.worker, look.epoch);
-                        self.take(job::Event::Looked { worker, epoch, answer });
+                        let answer = job::HeartbeatAnswer::Lists(lists);
+                        let (worker, epoch) = (heartbeat.worker, heartbeat.epoch);
+                        self.take(job::Event::HeartbeatAnswered { worker, epoch, answer });
                     }
                     job::Effect::Pace(pace) => self.paces.push((self.now, pace)),
                     job::Effect::Stop(order) => self.stops.push(order),
@@ -276,7 +278,7 @@
     }
 
     /// Lets serving tasks feel what fills beside them, where the desk says how; what fills keeps to its share.
-    fn feel(&mut self, worker: &id::Life, running: &mut [job::Running]) {
+    fn feel(&mut self, worker: &id::Incarnation, running: &mut [job::Running]) {
         let Some(tail_ms) = self.tail_ms else {
             return;
         };
@@ -312,30 +314,34 @@
     }
 
     /// Lets a worker restart under its id: it tells nothing of before, and its ends are numbered from one.
-    pub fn restart(&mut self, at: usize) -> id::Life {
+    pub fn restart(&mut self, at: usize) -> id::Incarnation {
         let mut member = member(at);
-        member.life.born_ms = u64::try_from(self.now.as_millis()).ok();
-        let life = member.life.clone();
-        self.take(job::Event::Member(life.worker.clone(), Some(member)));
-        life
+        member.incarnation.born_ms = u64::try_from(self.now.as_millis()).ok();
+        let incarnation = member.incarnation.clone();
+        self.take(job::Event::Member(incarnation.worker.clone(), Some(member)));
+        incarnation
     }
 
-    /// Lets a little time pass and answers the look at a life that is asked for then; returns the look.
-    pub fn answer_look(&mut self, life: &id::Life, answer: job::LookAnswer) -> job::Look {
-        let is_it =
-            |effect: &job::Effect| matches!(effect, job::Effect::Look(l) if l.worker == *life);
+    /// Lets a little time pass and answers the look at an incarnation that is asked for then; returns the look.
+    pub fn answer_heartbeat(
+        &mut self,
+        incarnation: &id::Incarnation,
+        answer: job::HeartbeatAnswer,
+    ) -> job::Heartbeat {
+        let is_it = |effect: &job::Effect| matches!(effect, job::Effect::SendHeartbeat(l) if l.worker == *incarnation);
         for _ in 0..500 {
             let at = self.asked.iter().position(is_it);
-            if let Some(job::Effect::Look(look)) = at.map(|at| self.asked.remove(at)) {
-                let (worker, epoch) = (look.worker.clone(), look.epoch);
-                self.take(job::Event::Looked { worker, epoch, answer });
-                return look;
+            if let Some(job::Effect::SendHeartbeat(heartbeat)) = at.map(|at| self.asked.remove(at))
+            {
+                let (worker, epoch) = (heartbeat.worker.clone(), heartbeat.epoch);
+                self.take(job::Event::HeartbeatAnswered { worker, epoch, answer });
+                return heartbeat;
             }
             self.now += time::Duration::from_millis(20);
             let wall_ms = u64::try_from(self.now.as_millis()).expect("a small number");
             self.take(job::Event::Tick { wall_ms });
         }
-        panic!("no look at {life}");
+        panic!("no look at {incarnation}");
     }
 
     /// Returns what a job is said to be.
@@ -359,7 +365,7 @@
     }
 
     /// Returns the worker that a task was started on first.
-    pub fn worker_of(&self, task: job::TaskId) -> id::Life {
+    pub fn worker_of(&self, task: job::TaskId) -> id::Incarnation {
         let started = self.asked.iter().find_map(|effect| match effect {
             job::Effect::Start(start) if start.order.task == task => Some(&start.order.worker),
             _ => None,
@@ -373,11 +379,11 @@
     }
 
     /// Returns the ends that a look is told.
-    fn ends_of(&self, look: &job::Look) -> Vec<job::Ended> {
+    fn ends_of(&self, heartbeat: &job::Heartbeat) -> Vec<job::Ended> {
         let here = self
             .over
             .iter()
-            .filter(|(worker, ended)| *worker == look.worker && ended.number > look.seen);
+            .filter(|(worker, ended)| *worker == heartbeat.worker && ended.number > heartbeat.seen);
         here.map(|(_, ended)| ended.clone()).collect()
     }
 
@@ -408,20 +414,20 @@
         let clock_ms = u64::try_from(self.now.as_millis()).expect("a small number");
         let lists = job::Lists { clock_ms, running, ..job::Lists::default() };
         let (worker, epoch) =
-            (member(worker).life, self.engine.holding().expect("a holder").dump().epoch);
-        let answer = job::LookAnswer::Lists(lists);
-        self.take(job::Event::Looked { worker, epoch, answer });
+            (member(worker).incarnation, self.engine.holding().expect("a holder").dump().epoch);
+        let answer = job::HeartbeatAnswer::Lists(lists);
+        self.take(job::Event::HeartbeatAnswered { worker, epoch, answer });
     }
 
     /// Lets the engine hear at once how runs on a worker ended.
-    pub fn hear_ends(&mut self, worker: &id::Life) {
+    pub fn hear_ends(&mut self, worker: &id::Incarnation) {
         let clock_ms = u64::try_from(self.now.as_millis()).expect("a small number");
         let here = self.over.iter().filter(|(on, _)| on == worker);
         let ended = here.map(|(_, ended)| ended.clone()).collect();
         let lists = job::Lists { clock_ms, ended, ..job::Lists::default() };
         let epoch = self.engine.holding().expect("a holder").dump().epoch;
-        let answer = job::LookAnswer::Lists(lists);
-        self.take(job::Event::Looked { worker: worker.clone(), epoch, answer });
+        let answer = job::HeartbeatAnswer::Lists(lists);
+        self.take(job::Event::HeartbeatAnswered { worker: worker.clone(), epoch, answer });
     }
 
     /// Hands in a job of several steps.
@@ -490,7 +496,7 @@
         service: "service".into(),
         priority,
         max_attempts: 3,
-        advice: (name == ADVISED).then(job::Terms::default),
+        advice: (name == ADVISED).then(job::AdviceTiming::default),
         stretch_percent: 200,
         objective_ms: 1_000,
     };
@@ -503,7 +509,7 @@
 /// Returns a worker as the store lists it.
 pub fn member(at: usize) -> job::Member {
     job::Member {
-        life: format!("worker-{at}").as_str().into(),
+        incarnation: format!("worker-{at}").as_str().into(),
         addr: ([127, 0, 0, 1], 1).into(),
         hall: "hall".into(),
         service: "service".into(),
--- a/crates/wharflane/tests/gang.rs
+++ b/crates/wharflane/tests/gang.rs
@@ -84,7 +84,7 @@
         let mut desk = desk::Desk::new(0, Vec::new());
         for (at, rack) in [(0, "r1"), (1, "r2"), (2, "r1"), (3, "r2")] {
             let member = job::Member { rack: Some(rack.to_owned()), ..desk::member(at) };
-            desk.take(job::Event::Member(member.life.worker.clone(), Some(member)));
+            desk.take(job::Event::Member(member.incarnation.worker.clone(), Some(member)));
         }
         // The worker that fits best stands in a rack without room for a second member.
         desk.submit(9, "first", desk::step("plain", 9_000));
--- a/crates/wharflane/tests/job.rs
+++ b/crates/wharflane/tests/job.rs
@@ -191,12 +191,12 @@
         desk.pass(500, false);
         // The store is silent from here on: nothing renews the lease.
         // Long enough for a look at the idle worker to be due.
-        desk.now += world::settings().lease + world::settings().look_idle;
+        desk.now += world::settings().lease + world::settings().idle_heartbeat_gap;
         let event = desk.accepted(1, "first", desk::step("plain", 1_000));
         let mut effects = desk.engine.step(desk.now, event);
         effects.extend(desk.engine.step(desk.now, job::Event::Tick { wall_ms: 0 }));
         let order = |effect: &job::Effect| {
-            matches!(effect, job::Effect::Start(_) | job::Effect::Look(_) | job::Effect::Stop(_))
+            matches!(effect, job::Effect::Start(_) | job::Effect::SendHeartbeat(_) | job::Effect::Stop(_))
         };
         let ordered = effects.iter().any(order);
         assert!(!ordered, "an order was given");
--- a/crates/wharflane/tests/late_ends.rs
+++ b/crates/wharflane/tests/late_ends.rs
@@ -179,8 +179,8 @@
     },
     a_late_end_is_acknowledged_once_its_commit_stands => {
         // Idle workers are looked at often, or the lease would be over before the second look.
-        let look_idle = time::Duration::from_millis(200);
-        let settings = job::Settings { look_idle, ..world::settings() };
+        let idle_heartbeat_gap = time::Duration::from_millis(200);
+        let settings = job::Settings { idle_heartbeat_gap, ..world::settings() };
         let desk = desk::Desk::with(settings, 3, (Vec::new(), Vec::new()), Vec::new());
         let (mut desk, first) = staged_again_on(desk, desk::step("plain", 1_000));
         desk.store_answers();
--- a/crates/wharflane/tests/lease.rs
+++ b/crates/wharflane/tests/lease.rs
@@ -22,8 +22,8 @@
 impl Watch {
     /// Makes an engine with a handicap.
     fn new(handicap_ms: u64) -> Self {
-        let handicap = time::Duration::from_millis(handicap_ms);
-        let settings = job::Settings { handicap, ..world::settings() };
+        let takeover_delay = time::Duration::from_millis(handicap_ms);
+        let settings = job::Settings { takeover_delay, ..world::settings() };
         let engine = job::Engine::new("host".into(), settings, 1);
         Self { engine, now: time::Duration::from_secs(1) }
     }
@@ -42,7 +42,7 @@
 
     /// Reads a lease of a holder whose host answers probes like this, and returns after how many milliseconds
     /// it is taken.
-    fn taken_from_a_dead_holder_after(&mut self, sign: job::Sign) -> u64 {
+    fn taken_from_a_dead_holder_after(&mut self, sign: job::ProbeResult) -> u64 {
         let addr = Some(([127, 0, 0, 1], 9).into());
         let row = held().map(|(version, lease)| (version, job::Lease { addr, ..lease }));
         for waited_ms in (0..10_000).step_by(100) {
@@ -90,7 +90,7 @@
     desk.take(job::Event::LeaseRead(row.clone()));
     if early {
         desk.now += world::settings().probe;
-        desk.take(job::Event::Probed { version: 7, sign: job::Sign::Refused });
+        desk.take(job::Event::Probed { version: 7, sign: job::ProbeResult::Refused });
     } else {
         desk.now += world::settings().lease;
         desk.take(job::Event::LeaseRead(row));
@@ -137,19 +137,19 @@
         assert_eq!(Watch::new(HANDICAP_MS).taken_after(held()), lease_ms + HANDICAP_MS);
     },
     the_lease_of_a_dead_process_is_taken_before_it_is_over => {
-        let after = |handicap, sign| Watch::new(handicap).taken_from_a_dead_holder_after(sign);
-        assert_eq!(after(0, job::Sign::Refused), 500);
-        assert_eq!(after(HANDICAP_MS, job::Sign::Refused), 500 + HANDICAP_MS);
-        assert_eq!(after(0, job::Sign::Silent), 1_200);
+        let after = |takeover_delay, sign| Watch::new(takeover_delay).taken_from_a_dead_holder_after(sign);
+        assert_eq!(after(0, job::ProbeResult::Refused), 500);
+        assert_eq!(after(HANDICAP_MS, job::ProbeResult::Refused), 500 + HANDICAP_MS);
+        assert_eq!(after(0, job::ProbeResult::Silent), 1_200);
     },
     a_probe_of_an_older_lease_says_nothing => {
         let mut watch = Watch::new(0);
         let row = held();
         watch.engine.step(watch.now, job::Event::LeaseRead(row));
         watch.now += time::Duration::from_millis(900);
-        let effects = watch.engine.step(watch.now, job::Event::Probed { version: 6, sign: job::Sign::Refused });
+        let effects = watch.engine.step(watch.now, job::Event::Probed { version: 6, sign: job::ProbeResult::Refused });
         assert_eq!(effects, []);
-        let effects = watch.engine.step(watch.now, job::Event::Probed { version: 7, sign: job::Sign::Listens });
+        let effects = watch.engine.step(watch.now, job::Event::Probed { version: 7, sign: job::ProbeResult::Listens });
         assert_eq!(effects, []);
     },
     a_lease_whose_state_can_t_be_read_is_left_to_others => {
--- a/crates/wharflane/tests/leaving.rs
+++ b/crates/wharflane/tests/leaving.rs
@@ -14,11 +14,11 @@
 }
 
 /// Lets a worker say that it leaves.
-fn leaves(desk: &mut desk::Desk, at: usize) -> id::Life {
+fn leaves(desk: &mut desk::Desk, at: usize) -> id::Incarnation {
     let member = job::Member { leaving: true, ..desk::member(at) };
-    let life = member.life.clone();
-    desk.take(job::Event::Member(life.worker.clone(), Some(member)));
-    life
+    let incarnation = member.incarnation.clone();
+    desk.take(job::Event::Member(incarnation.worker.clone(), Some(member)));
+    incarnation
 }
 
 /// Returns whether a transaction writes how far a job is.
@@ -38,9 +38,9 @@
         desk.pass(3_000, false);
         assert_eq!(desk.not_taken.len() + desk.starts(JOB).len(), 1);
         let next = desk::member(1);
-        desk.take(job::Event::Member(next.life.worker.clone(), Some(next.clone())));
+        desk.take(job::Event::Member(next.incarnation.worker.clone(), Some(next.clone())));
         desk.pass(1_000, false);
-        assert_eq!(desk.worker_of(desk::losses::task(JOB)), next.life, "it goes elsewhere");
+        assert_eq!(desk.worker_of(desk::losses::task(JOB)), next.incarnation, "it goes elsewhere");
     },
     // A start whose commit took long went out to a worker that had said meanwhile that it leaves.
     a_start_recorded_before_its_worker_leaves_is_ordered_elsewhere => {
@@ -50,10 +50,10 @@
         desk.pass(100, false);
         leaves(&mut desk, 0);
         let next = desk::member(1);
-        desk.take(job::Event::Member(next.life.worker.clone(), Some(next.clone())));
+        desk.take(job::Event::Member(next.incarnation.worker.clone(), Some(next.clone())));
         desk.store_answers();
         desk.pass(1_000, false);
         assert_eq!(desk.starts(JOB).len(), 1);
-        assert_eq!(desk.worker_of(desk::losses::task(JOB)), next.life);
+        assert_eq!(desk.worker_of(desk::losses::task(JOB)), next.incarnation);
     },
 }
--- a/crates/wharflane/tests/limit.rs
+++ b/crates/wharflane/tests/limit.rs
@@ -2,7 +2,7 @@
 
 use std::time;
 
-use wharflane::limit;
+use wharflane::queue;
 use wharflane_stand_in::cases;
 
 /// Milliseconds.
@@ -11,8 +11,8 @@
 }
 
 /// Returns a queue from which a request was taken every ten milliseconds.
-fn paced(limit: usize) -> limit::Queue<u32> {
-    let mut queue = limit::Queue::new(limit);
+fn paced(limit: usize) -> queue::Queue<u32> {
+    let mut queue = queue::Queue::new(limit);
     for turn in 0..200 {
         for _ in 0..2 {
             let _ = queue.push(1, ms(100_000), ms(turn * 10), true, 0);
@@ -35,7 +35,7 @@
         let mut queue = paced(1_000);
         let now = ms(200_000);
         let accepted = (0..100).take_while(|turn| {
-            matches!(queue.push(1, now + ms(100), now, true, *turn), limit::Admission::Queued)
+            matches!(queue.push(1, now + ms(100), now, true, *turn), queue::Admission::Queued)
         });
         let accepted = accepted.count();
         assert!(accepted < 100, "{accepted} of 100 waiting with 100 ms to go");
@@ -44,15 +44,15 @@
         let mut queue = paced(8);
         let now = ms(200_000);
         for turn in 0..8 {
-            assert!(matches!(queue.push(1, ms(900_000), now, true, turn), limit::Admission::Queued));
+            assert!(matches!(queue.push(1, ms(900_000), now, true, turn), queue::Admission::Queued));
         }
-        let limit::Admission::Refused(refused) = queue.push(1, ms(900_000), now, true, 9) else {
+        let queue::Admission::Refused(refused) = queue.push(1, ms(900_000), now, true, 9) else {
             panic!("the ninth of eight was taken");
         };
         assert!(refused.retry_after > time::Duration::ZERO);
     },
     paid_priority_goes_first => {
-        let mut queue = limit::Queue::new(8);
+        let mut queue = queue::Queue::new(8);
         for (priority, value) in [(1, 10), (5, 50), (1, 11), (9, 90)] {
             let _ = queue.push(priority, ms(1_000), ms(0), true, value);
         }
@@ -60,7 +60,7 @@
         assert_eq!(order, [90, 50, 10, 11]);
     },
     a_request_that_an_endpoint_refused_goes_before_new_ones => {
-        let mut queue = limit::Queue::new(8);
+        let mut queue = queue::Queue::new(8);
         for (first, value) in [(true, 1), (true, 2), (false, 3)] {
             let _ = queue.push(1, ms(1_000), ms(0), first, value);
         }
@@ -69,25 +69,25 @@
         assert_eq!(order, [4, 3, 1, 2]);
     },
     a_higher_priority_displaces_a_lower_one => {
-        let mut queue = limit::Queue::new(1);
-        assert!(matches!(queue.push(1, ms(1_000), ms(0), true, 10), limit::Admission::Queued));
+        let mut queue = queue::Queue::new(1);
+        assert!(matches!(queue.push(1, ms(1_000), ms(0), true, 10), queue::Admission::Queued));
         assert!(matches!(
             queue.push(9, ms(1_000), ms(0), true, 90),
-            limit::Admission::Displaced(10, _)
+            queue::Admission::Displaced(10, _)
         ));
-        assert!(matches!(queue.push(1, ms(1_000), ms(0), true, 11), limit::Admission::Refused(_)));
+        assert!(matches!(queue.push(1, ms(1_000), ms(0), true, 11), queue::Admission::Refused(_)));
     },
     late_requests_are_handed_back => {
-        let mut queue = limit::Queue::new(8);
-        assert!(matches!(queue.push(1, ms(10), ms(0), true, 1), limit::Admission::Queued));
-        assert!(matches!(queue.push(1, ms(100), ms(0), true, 2), limit::Admission::Queued));
+        let mut queue = queue::Queue::new(8);
+        assert!(matches!(queue.push(1, ms(10), ms(0), true, 1), queue::Admission::Queued));
+        assert!(matches!(queue.push(1, ms(100), ms(0), true, 2), queue::Admission::Queued));
         let (late, next) = queue.pop(ms(50));
         assert_eq!((late, next), (vec![1], Some(2)));
     },
     a_place_goes_to_the_first_in_time_that_fits_it => {
-        let mut queue = limit::Queue::new(8);
+        let mut queue = queue::Queue::new(8);
         for (start_by, value) in [(100, 1), (10, 2), (100, 3), (100, 4)] {
-            assert!(matches!(queue.push(1, ms(start_by), ms(0), true, value), limit::Admission::Queued));
+            assert!(matches!(queue.push(1, ms(start_by), ms(0), true, value), queue::Admission::Queued));
         }
         assert_eq!(queue.pop_for(ms(50), |value| *value > 2), (vec![2], Some(3)));
         assert_eq!(queue.pop_for(ms(50), |value| *value > 4), (vec![], None));
--- a/crates/wharflane/tests/link.rs
+++ b/crates/wharflane/tests/link.rs
@@ -31,9 +31,9 @@
 
 /// Returns the shortest time between two looks at one worker from a moment on.
 fn shortest_gap(desk: &desk::Desk, from: time::Duration) -> time::Duration {
-    let mut last = collections::BTreeMap::<id::Life, time::Duration>::new();
+    let mut last = collections::BTreeMap::<id::Incarnation, time::Duration>::new();
     let mut gaps = Vec::new();
-    for (at, worker) in desk.looked.iter().filter(|(at, _)| *at >= from) {
+    for (at, worker) in desk.heartbeats_sent.iter().filter(|(at, _)| *at >= from) {
         gaps.extend(last.insert(worker.clone(), *at).map(|before| *at - before));
     }
     gaps.into_iter().min().expect("two looks at one worker")
@@ -99,7 +99,7 @@
         desk.submit(JOB, "first", job::Step { count: 12, max_per_worker: Some(2), ..desk::step("plain", 1_000) });
         desk.pass(500, false);
         assert_eq!(desk.starts(JOB).len(), 12);
-        let workers: Vec<id::Life> = (0..5).map(|at| desk::member(at).life).collect();
+        let workers: Vec<id::Incarnation> = (0..5).map(|at| desk::member(at).incarnation).collect();
         desk.silent.extend(workers.iter().cloned());
         desk.pass(8_000, false);
         assert_eq!(desk.starts(JOB).len(), 12, "the silence may be the holder's");
@@ -115,7 +115,7 @@
         let mut desk = desk::Desk::new(6, Vec::new());
         desk.submit(JOB, "first", job::Step { count: 12, max_per_worker: Some(2), ..desk::step("plain", 1_000) });
         desk.pass(500, false);
-        desk.silent.extend((0..5).map(|at| desk::member(at).life));
+        desk.silent.extend((0..5).map(|at| desk::member(at).incarnation));
         desk.pass(12_000, false);
         let dump = desk.engine.holding().expect("a holder").dump();
         assert_eq!((dump.ready, dump.placed), (10, 2));
@@ -124,7 +124,7 @@
         let mut desk = desk::Desk::new(6, Vec::new());
         desk.submit(JOB, "first", job::Step { count: 6, max_per_worker: Some(1), ..desk::step("plain", 1_000) });
         desk.pass(7_000, false);
-        desk.silent.insert(desk::member(0).life);
+        desk.silent.insert(desk::member(0).incarnation);
         desk.pass(4_500, false);
         assert_eq!(desk.starts(JOB).len(), 6);
         let dump = desk.engine.holding().expect("a holder").dump();
--- a/crates/wharflane/tests/pace.rs
+++ b/crates/wharflane/tests/pace.rs
@@ -67,7 +67,7 @@
     let jobs = accepted(&mut before, vec![(1, alone), (2, filling)]);
     let mut desk = desk::Desk::after(2, (jobs, before.table(job::PROGRESS)), Vec::new());
     let row = |task, percent, load| job::Running { task, run: 1, percent, load };
-    let busy = (0..2).find(|worker| desk::member(*worker).life == at).expect("a worker");
+    let busy = (0..2).find(|worker| desk::member(*worker).incarnation == at).expect("a worker");
     if waits {
         desk.submit(3, "first", desk::step("filling", 1_000_000));
     }
--- a/crates/wharflane/tests/ranking.rs
+++ b/crates/wharflane/tests/ranking.rs
@@ -21,7 +21,7 @@
         let capacity = size::Size { cpu_milli, mem_mb: 64_000, accelerators: 0 };
         let rack = Some(format!("rack-{}", at % 3));
         let member = job::Member { capacity, rack, ..desk::member(at) };
-        desk.take(job::Event::Member(member.life.worker.clone(), Some(member)));
+        desk.take(job::Event::Member(member.incarnation.worker.clone(), Some(member)));
     }
     desk.pass(100, false);
     for job in 0..workers as u64 / 2 {
@@ -36,7 +36,7 @@
 }
 
 /// Returns the workers on which jobs from the first on were started, in order.
-fn workers(desk: &desk::Desk) -> Vec<id::Life> {
+fn workers(desk: &desk::Desk) -> Vec<id::Incarnation> {
     let starts = desk.asked.iter().filter_map(|effect| match effect {
         job::Effect::Start(start) if start.order.task.job.0 >= FIRST => Some(&start.order),
         _ => None,
@@ -76,7 +76,7 @@
     },
     a_step_weighs_all_workers_once => {
         let mut desk = uneven(12);
-        let sought = |desk: &desk::Desk| desk.engine.holding().expect("a holder").sought();
+        let sought = |desk: &desk::Desk| desk.engine.holding().expect("a holder").worker_searches();
         let before = sought(&desk);
         desk.submit(FIRST, "first", job::Step { count: TASKS, ..desk::step("plain", 500) });
         desk.pass(40, false);
--- a/crates/wharflane/tests/room.rs
+++ b/crates/wharflane/tests/room.rs
@@ -14,7 +14,7 @@
 fn tell_room(desk: &mut desk::Desk, at: usize, cpu_milli: u64) {
     let capacity = size::Size { cpu_milli, ..desk::member(at).capacity };
     let member = job::Member { capacity, ..desk::member(at) };
-    desk.take(job::Event::Member(member.life.worker.clone(), Some(member)));
+    desk.take(job::Event::Member(member.incarnation.worker.clone(), Some(member)));
 }
 
 /// Returns whether a transaction writes how far a job is.
@@ -111,7 +111,7 @@
         desk.submit(1, "first", desk::step("plain", TASK_MILLI));
         desk.pass(100, false);
         let on = desk.worker_of(task(1));
-        let other = (0..2).find(|at| desk::member(*at).life != on).expect("another worker");
+        let other = (0..2).find(|at| desk::member(*at).incarnation != on).expect("another worker");
         // The other worker still has an older run of the same task.
         let stray = job::Running { task: task(1), run: 0, percent: 40, load: 0 };
         desk.hear(other, vec![stray]);
--- a/crates/wharflane/tests/room_for_lasting.rs
+++ b/crates/wharflane/tests/room_for_lasting.rs
@@ -36,7 +36,7 @@
 }
 
 /// Ends the short task that was started first and has not ended, on any worker but one.
-fn end_one(desk: &mut desk::Desk, spared: &wharflane::id::Life) {
+fn end_one(desk: &mut desk::Desk, spared: &wharflane::id::Incarnation) {
     let ended = |desk: &desk::Desk, task| desk.over.iter().any(|(_, end)| end.task == task);
     let short = JOBS[2..].iter().flat_map(|job| {
         desk.starts(*job).into_iter().map(|(index, _)| task(*job, index)).collect::<Vec<_>>()
--- a/crates/wharflane/tests/slowness.rs
+++ b/crates/wharflane/tests/slowness.rs
@@ -20,7 +20,7 @@
 /// Returns whether a host is taken to be slow that handles `usual` events between two ticks of 20 ms, and later
 /// `later` between two ticks that come `apart_ms` apart and waited for as long as `waited_ms`.
 fn is_slow(usual: u64, later: u64, apart_ms: u64, waited_ms: u64) -> bool {
-    let mut slowness = job::Slowness::default();
+    let mut slowness = job::SlownessDetector::default();
     let mut now = time::Duration::ZERO;
     let mut pass = |until, events, apart_ms, waited_ms| {
         while now < until {
@@ -91,7 +91,7 @@
         assert!(!is_slow(20, 4, 20, 50));
     },
     one_short_pause_is_no_slowness => {
-        let mut slowness = job::Slowness::default();
+        let mut slowness = job::SlownessDetector::default();
         let mut slow = false;
         for at_ms in (20..20_000).step_by(20) {
             let at = time::Duration::from_millis(if at_ms < 10_000 { at_ms } else { at_ms + 700 });
@@ -102,7 +102,7 @@
         assert!(!slow);
     },
     nothing_is_known_of_a_host_that_was_never_well => {
-        let mut slowness = job::Slowness::default();
+        let mut slowness = job::SlownessDetector::default();
         let slow = (1..200).any(|at: u64| {
             let now = time::Duration::from_millis(at * 100);
             slowness.tick(now, time::Duration::from_millis(900))
@@ -193,7 +193,7 @@
     },
     a_host_with_less_to_do_that_pauses_now_and_then_is_not_slow => {
         // Twice a second it stands still for a tenth of one, as under a quota; all that comes is handled at once.
-        let mut slowness = job::Slowness::default();
+        let mut slowness = job::SlownessDetector::default();
         let mut now = time::Duration::ZERO;
         let mut slow = false;
         for tick in 0..1_000 {
--- a/crates/wharflane/tests/starvation.rs
+++ b/crates/wharflane/tests/starvation.rs
@@ -203,10 +203,10 @@
         desk.pass(500, false);
         desk.submit(1_001, "first", desk::step("serving", 14_000));
         desk.pass(500, false);
-        assert_eq!(desk.worker_of(task(1_001, 0)), desk::member(1).life);
+        assert_eq!(desk.worker_of(task(1_001, 0)), desk::member(1).incarnation);
         let order = desk.order_of(task(1_001, 0));
-        let answer = job::LookAnswer::Gone;
-        desk.take(job::Event::Looked { worker: order.worker, epoch: order.epoch, answer });
+        let answer = job::HeartbeatAnswer::Gone;
+        desk.take(job::Event::HeartbeatAnswered { worker: order.worker, epoch: order.epoch, answer });
         desk.pass(4_000, false);
         desk.submit(WAITING, "first", desk::step("plain", 1_000));
         desk.pass(BOUND_MS, false);
--- a/crates/wharflane/tests/strange_rows.rs
+++ b/crates/wharflane/tests/strange_rows.rs
@@ -34,11 +34,11 @@
     a_worker_of_a_service_that_no_queue_names_is_not_called => {
         let mut desk = desk::Desk::new(1, Vec::new());
         let stranger = job::Member { service: "another".into(), ..desk::member(7) };
-        desk.take(job::Event::Member(stranger.life.worker.clone(), Some(stranger.clone())));
+        desk.take(job::Event::Member(stranger.incarnation.worker.clone(), Some(stranger.clone())));
         desk.submit(1, "first", desk::step("plain", 1_000));
         desk.pass(9_000, false);
-        assert!(desk.looked.iter().any(|(_, worker)| *worker == desk::member(0).life));
-        assert!(!desk.looked.iter().any(|(_, worker)| *worker == stranger.life));
+        assert!(desk.heartbeats_sent.iter().any(|(_, worker)| *worker == desk::member(0).incarnation));
+        assert!(!desk.heartbeats_sent.iter().any(|(_, worker)| *worker == stranger.incarnation));
     },
     a_job_whose_progress_can_t_be_read_is_left_alone_and_others_go_on => {
         for text in ["no json", "{}", "{\"phase\":7}", "{\"phase\":\"running\",\"tasks\":[{\"at\":[1]}]}"] {
@@ -74,7 +74,7 @@
     a_room_of_nothing_takes_no_task => {
         let mut desk = desk::Desk::new(0, Vec::new());
         let empty = job::Member { capacity: size::Size::default(), ..desk::member(0) };
-        desk.take(job::Event::Member(empty.life.worker.clone(), Some(empty)));
+        desk.take(job::Event::Member(empty.incarnation.worker.clone(), Some(empty)));
         desk.submit(1, "first", desk::step("plain", 1_000));
         desk.pass(4_000, false);
         assert_eq!(desk.starts(1).len(), 0);
