--- a/crates/wharflane/src/job/advice.rs
+++ b/crates/wharflane/src/job/advice.rs
@@ -1,6 +1,7 @@
-//! Asks the operator's advice service which workers may run a step, for queues that want it.
-//! The service is slow and takes one question at a time, so only workers are
-//! named that would be chosen otherwise, and about as many as are needed.
+//! Requests tickets from the operator's advice service, for queues that require them.
+//!
+//! The service decides which workers may run a step. It is slow and handles one request at a time,
+//! so a request names only workers that placement would choose, and about as many as are needed.
 
 use std::time;
 
@@ -14,68 +15,76 @@
 use super::worker;
 use crate::id;
 
-/// The most workers named in one question; the service takes 100, callers allow one call per 30.
-const MOST_NAMED: usize = 30;
-/// The least workers named, since some are not good.
-const LEAST_NAMED: usize = 4;
-/// Questions under way at once; the service takes one at a time and turns away beyond 32.
-const MOST_OPEN: usize = 4;
-/// The wait after a question that had no answer.
-const AGAIN: time::Duration = time::Duration::from_millis(500);
-/// How long before its end a ticket is not used any more: commit and trip to the worker; a quarter of
-/// its time at most.
-const MARGIN: time::Duration = time::Duration::from_millis(400);
-/// What an answer may take beyond the time that the service needs.
-const SLACK: time::Duration = time::Duration::from_millis(1_000);
-/// The least share of good workers that is reckoned with.
-const LEAST_SHARE: f64 = 0.05;
-/// What one answer weighs in the share of workers that are good.
-const SHARE_WEIGHT: f64 = 0.2;
+/// Maximum number of workers in one request; the service accepts 100, and callers allow one call
+/// per 30 workers.
+const MAX_CANDIDATES: usize = 30;
+/// Minimum number of workers in one request, since some of them are denied.
+const MIN_CANDIDATES: usize = 4;
+/// Maximum number of open requests; the service handles one at a time and rejects more than 32.
+const MAX_OPEN_REQUESTS: usize = 4;
+/// Delay before the next request for a step after one failed.
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(500);
+/// How long before its expiry a ticket is no longer used, which covers the commit and the trip to
+/// the worker. At most a quarter of the ticket's validity.
+const EXPIRY_MARGIN: time::Duration = time::Duration::from_millis(400);
+/// Time allowed for an answer beyond the processing time of the service.
+const TIMEOUT_SLACK: time::Duration = time::Duration::from_millis(1_000);
+/// Lower bound of the accepted share when the number of workers to request is estimated.
+const MIN_ACCEPTED_SHARE: f64 = 0.05;
+/// Weight of the newest answer in the moving average of the accepted share.
+const SHARE_SMOOTHING: f64 = 0.2;
 
 impl holding::Holding {
-    /// Returns how a job's queue wants its workers to be asked for.
-    pub(super) fn terms_of_advice(&self, job: &spec::Job) -> Option<tickets::AdviceTiming> {
+    /// Returns the advice timing of a job's queue, or `None` if the queue needs no tickets.
+    pub(super) fn advice_timing(&self, job: &spec::Job) -> Option<tickets::AdviceTiming> {
         self.queues.queues.get(&job.queue)?.advice
     }
 
-    /// Asks which workers may run a step, unless that is being asked.
-    pub(super) fn ask(&mut self, task: spec::TaskId, wanted: usize, now: time::Duration) {
+    /// Requests tickets for a step unless a request for it is open or the retry delay is running.
+    pub(super) fn request_tickets(
+        &mut self,
+        task: spec::TaskId,
+        wanted: usize,
+        now: time::Duration,
+    ) {
         let group = group::group(task);
-        let open = self.tickets.open;
-        let known = self.tickets.steps.entry(group).or_default();
-        if known.asked || now < known.again || open >= MOST_OPEN {
+        let open = self.tickets.open_requests;
+        let step_tickets = self.tickets.steps.entry(group).or_default();
+        if step_tickets.request_open || now < step_tickets.retry_at || open >= MAX_OPEN_REQUESTS {
             return;
         }
-        let count = (wanted as f64 / self.tickets.share.max(LEAST_SHARE)).ceil() as usize;
-        let workers = self.candidates(task, count.clamp(LEAST_NAMED, MOST_NAMED), now);
+        let count =
+            (wanted as f64 / self.tickets.accepted_share.max(MIN_ACCEPTED_SHARE)).ceil() as usize;
+        let workers = self.candidates(task, count.clamp(MIN_CANDIDATES, MAX_CANDIDATES), now);
         let entry = self.jobs.get(&task.job);
-        let Some(terms) = entry.and_then(|entry| self.terms_of_advice(&entry.job)) else {
+        let Some(timing) = entry.and_then(|entry| self.advice_timing(&entry.job)) else {
             return;
         };
         if workers.is_empty() {
             return;
         }
-        let each = u32::try_from(workers.len()).unwrap_or(u32::MAX);
-        let before = u32::try_from(open + 1).unwrap_or(u32::MAX);
-        let timeout = (terms.decide + terms.each * each) * before + SLACK;
+        let named = u32::try_from(workers.len()).unwrap_or(u32::MAX);
+        let position = u32::try_from(open + 1).unwrap_or(u32::MAX);
+        let timeout = (timing.decide + timing.each * named) * position + TIMEOUT_SLACK;
         tracing::info!(
             job = %task.job, round = task.round, step = task.step, named = workers.len(), open,
-            "workers of a step asked for"
+            "requested tickets for a step"
         );
-        self.tickets.open += 1;
-        if let Some(known) = self.tickets.steps.get_mut(&group) {
-            known.asked = true;
+        self.tickets.open_requests += 1;
+        if let Some(step_tickets) = self.tickets.steps.get_mut(&group) {
+            step_tickets.request_open = true;
         }
         let (job, round, step) = group;
-        let question = tickets::AdviceRequest { job, round, step, workers, timeout };
-        self.out.push(event::Effect::Ask(question));
+        let request = tickets::AdviceRequest { job, round, step, workers, timeout };
+        self.out.push(event::Effect::Ask(request));
     }
 
-    /// Returns workers to ask about: known good ones first, then the emptiest that may be.
+    /// Returns workers to name in a request: those already granted first, then those in the
+    /// preferred rack, then those with the most free CPU.
     fn candidates(
         &self,
         task: spec::TaskId,
-        most: usize,
+        max_count: usize,
         now: time::Duration,
     ) -> Vec<id::Incarnation> {
         let entry = self.jobs.get(&task.job);
@@ -84,79 +93,86 @@
             return Vec::new();
         };
         let service = self.service(&entry.job);
-        let none = tickets::Known::default();
-        let known = self.tickets.steps.get(&group::group(task)).unwrap_or(&none);
-        let fits = |view: &&worker::View| {
-            let plain = obstacle::plain(view, service, task, step, view.takes(task, now)).is_none();
-            plain
-                && !known.bad.contains(&view.member.incarnation)
+        let none = tickets::StepTickets::default();
+        let step_tickets = self.tickets.steps.get(&group::group(task)).unwrap_or(&none);
+        let is_candidate = |view: &&worker::View| {
+            let available =
+                obstacle::plain(view, service, task, step, view.takes(task, now)).is_none();
+            available
+                && !step_tickets.denied.contains(&view.member.incarnation)
                 && self.tickets.get(task, &view.member.incarnation, now).is_none()
         };
-        let mut views: Vec<&worker::View> = self.views.values().filter(fits).collect();
+        let mut views: Vec<&worker::View> = self.views.values().filter(is_candidate).collect();
         views.sort_by_key(|view| {
             let rack = view.member.rack.as_deref();
-            let near = step.rack.is_none() || rack == step.rack.as_deref();
-            let good = known.good.contains_key(&view.member.incarnation);
-            (!good, !near, std::cmp::Reverse(view.free().cpu_milli))
+            let in_preferred_rack = step.rack.is_none() || rack == step.rack.as_deref();
+            let accepted = step_tickets.accepted.contains_key(&view.member.incarnation);
+            (!accepted, !in_preferred_rack, std::cmp::Reverse(view.free().cpu_milli))
         });
-        views.into_iter().take(most).map(|view| view.member.incarnation.clone()).collect()
+        views.into_iter().take(max_count).map(|view| view.member.incarnation.clone()).collect()
     }
 
-    /// Takes the answer to a question; nothing stands for one that did not come.
+    /// Records the answer to a request, or schedules a retry if there was none.
     pub(super) fn handle_advice(
         &mut self,
-        question: &tickets::AdviceRequest,
+        request: &tickets::AdviceRequest,
         answer: Option<&tickets::Advice>,
         now: time::Duration,
     ) {
-        self.tickets.open = self.tickets.open.saturating_sub(1);
-        let group = (question.job, question.round, question.step);
-        let Some(known) = self.tickets.steps.get_mut(&group) else {
+        self.tickets.open_requests = self.tickets.open_requests.saturating_sub(1);
+        let group = (request.job, request.round, request.step);
+        let Some(step_tickets) = self.tickets.steps.get_mut(&group) else {
             return;
         };
-        known.asked = false;
+        step_tickets.request_open = false;
         let Some(advice) = answer else {
-            tracing::warn!(job = %question.job, step = question.step, "no advice came");
-            known.again = now + AGAIN;
+            tracing::warn!(
+                job = %request.job, step = request.step,
+                "no answer from the advice service; retrying"
+            );
+            step_tickets.retry_at = now + RETRY_DELAY;
             return;
         };
-        let until = now + advice.valid - MARGIN.min(advice.valid / 4);
+        let until = now + advice.valid - EXPIRY_MARGIN.min(advice.valid / 4);
         for (worker, text) in &advice.good {
-            known.good.insert(worker.clone(), tickets::Ticket { text: text.clone(), until });
+            step_tickets
+                .accepted
+                .insert(worker.clone(), tickets::Ticket { text: text.clone(), until });
         }
-        for worker in &question.workers {
+        for worker in &request.workers {
             if !advice.good.iter().any(|(good, _)| good == worker) {
-                known.bad.insert(worker.clone());
+                step_tickets.denied.insert(worker.clone());
             }
         }
-        let share = advice.good.len() as f64 / question.workers.len().max(1) as f64;
-        self.tickets.share += (share - self.tickets.share) * SHARE_WEIGHT;
+        let share = advice.good.len() as f64 / request.workers.len().max(1) as f64;
+        self.tickets.accepted_share += (share - self.tickets.accepted_share) * SHARE_SMOOTHING;
         self.changed = true;
         tracing::info!(
-            job = %question.job, round = question.round, step = question.step,
-            named = question.workers.len(), good = advice.good.len(),
+            job = %request.job, round = request.round, step = request.step,
+            named = request.workers.len(), good = advice.good.len(),
             valid_ms = worker::millis(advice.valid),
-            "workers of a step told"
+            "received tickets for a step"
         );
     }
 
-    /// Returns what keeps a task from a worker for want of a ticket.
-    pub(super) fn without_ticket(
+    /// Returns `Obstacle::Ticket` if the queue needs tickets and none is valid for this worker.
+    pub(super) fn ticket_obstacle(
         &self,
         job: &spec::Job,
         task: spec::TaskId,
         worker: &id::Incarnation,
         now: time::Duration,
     ) -> Option<obstacle::Obstacle> {
-        self.terms_of_advice(job)?;
+        self.advice_timing(job)?;
         let none = self.tickets.get(task, worker, now).is_none();
         none.then_some(obstacle::Obstacle::Ticket)
     }
 
-    /// Returns the ticket that an order to start shows; nothing where there should be one.
+    /// Returns the ticket for a start order: empty if the queue needs none, `None` if one is
+    /// missing.
     pub(super) fn ticket_for(&self, order: &order::Order, now: time::Duration) -> Option<String> {
         let entry = self.jobs.get(&order.task.job)?;
-        match self.terms_of_advice(&entry.job) {
+        match self.advice_timing(&entry.job) {
             None => Some(String::new()),
             Some(_) => self.tickets.get(order.task, &order.worker, now).map(str::to_owned),
         }
--- a/crates/wharflane/src/job/assign.rs
+++ b/crates/wharflane/src/job/assign.rs
@@ -1,4 +1,4 @@
-//! Gives tasks to workers; the starts wait for their commit.
+//! Assigns tasks to workers and stages their starts, which are ordered only after their commit.
 
 use std::time;
 
@@ -8,8 +8,8 @@
 use super::work;
 use crate::id;
 
-/// Gives a task to the worker that was found.
-pub(super) fn take(
+/// Assigns a task's next run to a worker and refreshes the worker's headroom.
+pub(super) fn assign(
     holding: &mut holding::Holding,
     ready: &work::Ready,
     step: &spec::Step,
@@ -17,18 +17,18 @@
     now: time::Duration,
 ) {
     let run = last_run(holding, ready.task) + 1;
-    assign(holding, ready, step, worker, run);
+    stage_start(holding, ready, step, worker, run);
     holding.refresh_headroom_of(worker, now);
 }
 
-/// Returns the number of a task's last start.
+/// Returns the number of a task's last run; zero if it was never started.
 pub(super) fn last_run(holding: &holding::Holding, task: spec::TaskId) -> u32 {
     let entry = holding.jobs.get(&task.job);
     entry.and_then(|entry| entry.progress.tasks.get(&task.into())).map_or(0, |task| task.run)
 }
 
-/// Gives a task a worker; the start waits for its commit.
-pub(super) fn assign(
+/// Assigns a run of a task to a worker and stages its start for the next commit.
+pub(super) fn stage_start(
     holding: &mut holding::Holding,
     ready: &work::Ready,
     step: &spec::Step,
--- a/crates/wharflane/src/job/choose.rs
+++ b/crates/wharflane/src/job/choose.rs
@@ -1,4 +1,4 @@
-//! Chooses a worker for a task: where it fits, near its data, and harms least.
+//! Chooses a worker for a task: one where it fits, near its data, with the least interference.
 
 use std::borrow;
 use std::cmp;
@@ -14,23 +14,24 @@
 use super::worker;
 use crate::id;
 
-/// The share of a lasting task's processors that it is taken to use.
-const SERVING_USE_PERCENT: u64 = 50;
-/// The least part of its processors that a task that fills should find.
-const FILL_LEAST: f64 = 0.8;
-/// The part of a worker's processors that most tasks that end find enough.
-const USEFUL_ROOM: f64 = 0.15;
-/// What a room left too small weighs against one more image on a worker.
-const SCRAP_WEIGHT: f64 = 1.5;
-/// The strain that one more neighbour may always cause; a tail hardly shows it.
-const HARMLESS: f64 = 0.015;
-/// How much more than on average a task may harm for some seconds: tasks work in phases.
-pub(super) const SURGE: f64 = 2.0;
-/// What a worker's idle processors weigh against the strain on its serving tasks.
+/// CPU that a long-running task is assumed to use, in percent of its reservation.
+const ASSUMED_SERVING_USE_PERCENT: u64 = 50;
+/// Minimum CPU that a best-effort task must find, as a fraction of what it requests.
+const MIN_BEST_EFFORT_FRACTION: f64 = 0.8;
+/// Fraction of a worker's CPU that is enough for most batch tasks.
+const MIN_USEFUL_FRACTION: f64 = 0.15;
+/// Cost of leaving an unusably small fragment of CPU, relative to one more image on the worker.
+const FRAGMENT_WEIGHT: f64 = 1.5;
+/// Strain that one more best-effort task may always cause; it hardly shows in a tail latency.
+const NEGLIGIBLE_STRAIN: f64 = 0.015;
+/// Factor by which the interference of a task may exceed its average for some seconds, since tasks
+/// work in phases.
+pub(super) const PEAK_FACTOR: f64 = 2.0;
+/// Weight of a worker's idle CPU against the strain on its serving tasks.
 const IDLE_WEIGHT: f64 = 0.1;
 
-/// Returns the best worker for a task, within one rack where it is given, or nothing; workers whose
-/// room is kept for others don't count.
+/// Returns the best worker for a task, or `None`; with `within`, only workers of that rack count.
+/// Workers reserved for returning tasks are excluded.
 pub(super) fn choose(
     holding: &mut holding::Holding,
     task: spec::TaskId,
@@ -43,46 +44,48 @@
     let holding = &*holding;
     let search = Search::of(holding, task, step, image, now)?;
     let outside = |view: &worker::View| within.is_some() && view.member.rack.as_deref() != within;
-    let kept_off = holding.avoids_suspects(task);
-    let weigh = |view: &worker::View| {
-        let cost = if outside(view) { None } else { search.weigh(holding, view) };
+    let isolated = holding.avoids_suspects(task);
+    let evaluate = |view: &worker::View| {
+        let cost = if outside(view) { None } else { search.evaluate(holding, view) };
         let stake = || isolation::IsolationCost::of(holding, task, view, now);
         cost.map(|cost| {
-            (if kept_off { stake() } else { isolation::IsolationCost::default() }, cost)
+            (if isolated { stake() } else { isolation::IsolationCost::default() }, cost)
         })
     };
-    let before = |a: &(isolation::IsolationCost, Cost), b: &(isolation::IsolationCost, Cost)| {
+    let is_cheaper = |a: &(isolation::IsolationCost, Cost),
+                      b: &(isolation::IsolationCost, Cost)| {
         a.0.cmp(&b.0).then_with(|| a.1.compare(&b.1)).is_lt()
     };
-    cheapest(holding, weigh, before)
+    cheapest(holding, evaluate, is_cheaper)
 }
 
-/// What a worker is sought by.
+/// The criteria of a search for a worker.
 pub(super) struct Search<'a> {
-    /// The task.
+    /// The task to place.
     task: spec::TaskId,
-    /// Its step.
+    /// The step of the task.
     step: &'a spec::Step,
-    /// What it runs.
+    /// The image that the task runs.
     image: interference::Image,
-    /// Its job.
+    /// The job of the task.
     job: &'a spec::Job,
-    /// The service whose workers run it.
+    /// The service whose workers may run the task.
     service: &'a id::ServiceId,
-    /// The rack that it had better run in.
-    near: Option<&'a str>,
-    /// The worker where it failed last.
-    avoided: Option<&'a id::Incarnation>,
-    /// The strain that it causes each serving image, by the image's number.
-    harms: Vec<f64>,
-    /// Whether a ticket is wanted.
-    advised: bool,
-    /// The time.
+    /// The preferred rack: the one with the data, or the one where siblings run.
+    preferred_rack: Option<&'a str>,
+    /// The worker where the task last failed.
+    failed_worker: Option<&'a id::Incarnation>,
+    /// Average strain that the task would cause each serving image if it used a whole worker,
+    /// indexed by the number of the image; empty unless the task is best-effort.
+    strains: Vec<f64>,
+    /// Whether the worker needs a ticket for the step.
+    needs_ticket: bool,
+    /// The time of the search, by the clock of the engine.
     now: time::Duration,
 }
 
 impl<'a> Search<'a> {
-    /// Returns what a worker for a task is sought by, or nothing for a job that is not known.
+    /// Returns the search criteria for a task, or `None` if its job is unknown.
     pub fn of(
         holding: &'a holding::Holding,
         task: spec::TaskId,
@@ -91,71 +94,72 @@
         now: time::Duration,
     ) -> Option<Self> {
         let entry = holding.jobs.get(&task.job)?;
-        let near = step.rack.as_deref().or_else(|| kin_rack(holding, task, step));
+        let preferred_rack = step.rack.as_deref().or_else(|| sibling_rack(holding, task, step));
         Some(Self {
             task,
             step,
             image,
             job: &entry.job,
             service: holding.service(&entry.job),
-            near,
-            avoided: failed_on(entry, task),
-            harms: harms(holding, step, image),
-            advised: holding.terms_of_advice(&entry.job).is_some(),
+            preferred_rack,
+            failed_worker: failed_on(entry, task),
+            strains: best_effort_strains(holding, step, image),
+            needs_ticket: holding.advice_timing(&entry.job).is_some(),
             now,
         })
     }
 
-    /// Returns what speaks against a worker, or nothing where it does not take the task.
-    pub fn weigh(&self, holding: &holding::Holding, view: &worker::View) -> Option<Cost> {
+    /// Returns the cost of a worker, or `None` if it can't take the task.
+    pub fn evaluate(&self, holding: &holding::Holding, view: &worker::View) -> Option<Cost> {
         let (step, now) = (self.step, self.now);
         if obstacle::plain(view, self.service, self.task, step, view.takes(self.task, now))
             .is_some()
         {
             return None;
         }
-        if holding.kept_for.contains(&view.member.incarnation) {
+        if holding.reserved_workers.contains(&view.member.incarnation) {
             return None;
         }
-        if self.advised
-            && holding.without_ticket(self.job, self.task, &view.member.incarnation, now).is_some()
+        if self.needs_ticket
+            && holding.ticket_obstacle(self.job, self.task, &view.member.incarnation, now).is_some()
         {
             return None;
         }
-        let away = self.near.is_some() && view.member.rack.as_deref() != self.near;
-        let again = self.avoided == Some(&view.member.incarnation);
-        let order = cost(holding, view, step, self.image, &self.harms, now)?;
-        Some(Cost { again, away, order })
+        let off_rack =
+            self.preferred_rack.is_some() && view.member.rack.as_deref() != self.preferred_rack;
+        let failed_here = self.failed_worker == Some(&view.member.incarnation);
+        let score = cost(holding, view, step, self.image, &self.strains, now)?;
+        Some(Cost { failed_here, off_rack, score })
     }
 }
 
-/// Returns the worker where a task failed last.
+/// Returns the worker where a task last failed.
 pub(super) fn failed_on(entry: &work::Entry, task: spec::TaskId) -> Option<&id::Incarnation> {
     let state = entry.progress.tasks.get(&task.into());
     state.filter(|state| !state.failed_runs.is_empty())?.failed_on.as_ref()
 }
 
-/// Returns the worker of the least cost among those that have one, the first of equals.
+/// Returns the worker of the lowest cost, the first among equals; `None` excludes a worker.
 pub(super) fn cheapest<C>(
     holding: &holding::Holding,
-    weigh: impl Fn(&worker::View) -> Option<C>,
-    before: impl Fn(&C, &C) -> bool,
+    evaluate: impl Fn(&worker::View) -> Option<C>,
+    is_cheaper: impl Fn(&C, &C) -> bool,
 ) -> Option<id::Incarnation> {
     let mut best: Option<(C, &worker::View)> = None;
     for view in holding.views.values() {
-        let Some(cost) = weigh(view) else {
+        let Some(cost) = evaluate(view) else {
             continue;
         };
-        if best.as_ref().is_none_or(|(least, _)| before(&cost, least)) {
+        if best.as_ref().is_none_or(|(least, _)| is_cheaper(&cost, least)) {
             best = Some((cost, view));
         }
     }
     best.map(|(_, view)| view.member.incarnation.clone())
 }
 
-/// Returns the strain that a task causes each serving image on average, by the image's number; none for
-/// tasks that don't fill.
-pub(super) fn harms(
+/// Returns the average strain that a task would cause each serving image, indexed by the number of
+/// the image. The list is empty for tasks that are not best-effort.
+pub(super) fn best_effort_strains(
     holding: &holding::Holding,
     step: &spec::Step,
     image: interference::Image,
@@ -166,8 +170,8 @@
     holding.learned.interference.slopes_of(image)
 }
 
-/// Returns the rack where a task of the same step runs, for steps that are slower across racks.
-fn kin_rack<'a>(
+/// Returns the rack where a sibling of a task runs, for steps that are slower across racks.
+fn sibling_rack<'a>(
     holding: &'a holding::Holding,
     task: spec::TaskId,
     step: &spec::Step,
@@ -175,68 +179,71 @@
     if !step.same_rack {
         return None;
     }
-    let (_, kin) = holding.placed.range(group::kin(task)).next()?;
-    holding.views.get(&kin.worker)?.member.rack.as_deref()
+    let (_, sibling) = holding.placed.range(group::siblings(task)).next()?;
+    holding.views.get(&sibling.worker)?.member.rack.as_deref()
 }
 
-/// What speaks against a worker, the graver first.
+/// The cost of a worker for a task, compared field by field in this order.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Cost {
-    /// The task failed there last.
-    again: bool,
-    /// Its data or its kin lie on another rack.
-    away: bool,
-    /// The rest, by kind of task.
-    order: f64,
+    /// Whether the task last failed there.
+    failed_here: bool,
+    /// Whether the worker is outside the preferred rack.
+    off_rack: bool,
+    /// Score by kind of task; lower is better.
+    score: f64,
 }
 
 impl Cost {
-    /// Returns how this cost compares with another.
+    /// Compares two costs.
     pub fn compare(&self, other: &Self) -> cmp::Ordering {
-        let graver = (self.again, self.away).cmp(&(other.again, other.away));
-        graver.then(self.order.total_cmp(&other.order))
+        let preference =
+            (self.failed_here, self.off_rack).cmp(&(other.failed_here, other.off_rack));
+        preference.then(self.score.total_cmp(&other.score))
     }
 }
 
-/// Returns the cost of a worker by kind of task, or nothing where the task would do harm.
+/// Returns the score of a worker by kind of task, or `None` if interference forbids the task there.
 pub(super) fn cost(
     holding: &holding::Holding,
     view: &worker::View,
     step: &spec::Step,
     image: interference::Image,
-    harms: &[f64],
+    strains: &[f64],
     now: time::Duration,
 ) -> Option<f64> {
     if step.fills {
-        return fill_cost(holding, view, step, harms, now);
+        return best_effort_cost(holding, view, step, strains, now);
     }
     let left = view.part(view.free().cpu_milli);
     if step.target_ms.is_none() {
         return Some(left);
     }
-    // Serving tasks of one image together leave other workers to what would harm them.
+    // Serving tasks of one image share workers, which leaves other workers to tasks that would
+    // interfere with that image.
     let others = view.serving.values().filter(|serving| serving.image != image).count();
     let empty = if view.serving.is_empty() { 0.5 } else { 0.0 };
-    Some(others as f64 + empty + left + scrap(view, step))
+    Some(others as f64 + empty + left + fragmentation_cost(view, step))
 }
 
-/// Returns what speaks against a room that would be left too small for most tasks that end.
-fn scrap(view: &worker::View, step: &spec::Step) -> f64 {
+/// Returns the cost of a CPU remainder that would be too small for most batch tasks.
+fn fragmentation_cost(view: &worker::View, step: &spec::Step) -> f64 {
     let left = view.part(view.free().minus(&step.reserved()).cpu_milli);
-    if left < USEFUL_ROOM { left / USEFUL_ROOM * SCRAP_WEIGHT } else { 0.0 }
+    if left < MIN_USEFUL_FRACTION { left / MIN_USEFUL_FRACTION * FRAGMENT_WEIGHT } else { 0.0 }
 }
 
-/// Returns the harm of a task that fills, with a little for processors that are short.
-fn fill_cost(
+/// Returns the strain that a best-effort task would add, minus a small bonus for idle CPU, or
+/// `None` if a serving task can't bear it.
+fn best_effort_cost(
     holding: &holding::Holding,
     view: &worker::View,
     step: &spec::Step,
-    harms: &[f64],
+    strains: &[f64],
     now: time::Duration,
 ) -> Option<f64> {
-    let left = left_for_filling(view);
-    let want = step.size.cpu_milli;
-    if (left as f64) < want as f64 * FILL_LEAST {
+    let left = cpu_left_for_best_effort(view);
+    let wanted = step.size.cpu_milli;
+    if (left as f64) < wanted as f64 * MIN_BEST_EFFORT_FRACTION {
         return None;
     }
     let known = view.headroom.as_ref().map(borrow::Cow::Borrowed);
@@ -244,11 +251,11 @@
     if headroom.missed {
         return None;
     }
-    let part = view.part(want);
+    let part = view.part(wanted);
     let mut worst = 0.0_f64;
     for (serving, room) in &headroom.left {
-        let strain = harms.get(serving.number()).copied().unwrap_or(0.0) * part * SURGE;
-        if strain > room.max(HARMLESS) {
+        let strain = strains.get(serving.number()).copied().unwrap_or(0.0) * part * PEAK_FACTOR;
+        if strain > room.max(NEGLIGIBLE_STRAIN) {
             return None;
         }
         worst = worst.max(strain);
@@ -256,8 +263,8 @@
     Some(worst - view.part(left) * IDLE_WEIGHT)
 }
 
-/// Returns the processors that a worker is thought to leave to tasks that fill.
-fn left_for_filling(view: &worker::View) -> u64 {
-    let idle = view.lasting.cpu_milli * (100 - SERVING_USE_PERCENT) / 100;
+/// Returns the CPU that a worker is expected to leave to best-effort tasks.
+fn cpu_left_for_best_effort(view: &worker::View) -> u64 {
+    let idle = view.lasting.cpu_milli * (100 - ASSUMED_SERVING_USE_PERCENT) / 100;
     (view.free().cpu_milli + idle).saturating_sub(view.filling_milli)
 }
--- a/crates/wharflane/src/job/closed.rs
+++ b/crates/wharflane/src/job/closed.rs
@@ -1,6 +1,7 @@
-//! Halls that operators have closed: nothing new is started on their workers until they are open again.
+//! Closed halls: no task starts on their workers until an operator opens them again.
 //!
-//! What runs there runs on to its end. Moving it out was measured as the other way (docs/design/shifted-work.md).
+//! Tasks that already run there run to their end. docs/design/shifted-work.md compares this with
+//! moving them out.
 
 use std::collections;
 use std::time;
@@ -13,26 +14,26 @@
 use super::worker;
 use crate::id;
 
-/// The halls that are closed, all of them.
+/// The complete set of closed halls.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClosedHalls {
-    /// The version of the store up to which this is true.
+    /// The version of the store at which the set was read.
     pub version: u64,
-    /// The halls.
+    /// The closed halls.
     pub halls: collections::BTreeSet<id::HallId>,
 }
 
-/// What a host knows of closed halls.
+/// The last reading of the closed halls on this host.
 #[derive(Debug, Default)]
 pub(super) struct ClosedHallsReading {
-    /// What it heard last.
+    /// The closed halls as read last.
     pub closed: ClosedHalls,
-    /// When; nothing before the first time.
+    /// When they were read; `None` before the first reading.
     pub at: Option<time::Duration>,
 }
 
 impl engine::Engine {
-    /// Takes in which halls are closed; an older reading that comes late says nothing.
+    /// Applies a reading of the closed halls; one older than the last is ignored.
     pub(super) fn apply_closed_halls(&mut self, now: time::Duration, closed: ClosedHalls) {
         if closed.version < self.closed_halls.closed.version {
             return;
@@ -45,19 +46,19 @@
         }
         self.closed_halls = ClosedHallsReading { closed, at: Some(now) };
         if let engine::Role::Holding(holding) = &mut self.role {
-            holding.set_closed(&self.closed_halls);
+            holding.set_closed_halls(&self.closed_halls);
         }
     }
 }
 
 impl holding::Holding {
-    /// Takes in which halls are closed, and takes back what was to be started there.
-    pub(super) fn set_closed(&mut self, heard: &ClosedHallsReading) {
-        self.closed_read_at = heard.at;
-        if self.closed == heard.closed.halls {
+    /// Applies a reading to the held domain and releases staged starts on workers of closed halls.
+    pub(super) fn set_closed_halls(&mut self, reading: &ClosedHallsReading) {
+        self.closed_read_at = reading.at;
+        if self.closed == reading.closed.halls {
             return;
         }
-        self.closed.clone_from(&heard.closed.halls);
+        self.closed.clone_from(&reading.closed.halls);
         self.changed = true;
         for view in self.views.values_mut() {
             view.closed = self.closed.contains(&view.member.hall);
@@ -66,10 +67,13 @@
         self.release_barred(&staged);
     }
 
-    /// Returns whether tasks may be placed: this holder has heard which halls are closed since it took the lease, or
-    /// has waited for it long enough. The operator's rows may be away while the holder's own are not, and work that
-    /// stands still for that long costs callers more than a start in a hall that was closed meanwhile.
-    pub(super) fn knows_closed(&mut self, now: time::Duration) -> bool {
+    /// Returns whether tasks may be placed.
+    ///
+    /// That requires a reading of the closed halls since the lease was taken, or that `closed_wait`
+    /// has passed. The operator's rows may be unavailable while the holder's own are not, and
+    /// standing still for that long costs callers more than a start in a hall that was closed
+    /// meanwhile.
+    pub(super) fn closed_halls_known(&mut self, now: time::Duration) -> bool {
         if self.closed_read_at.is_some_and(|at| at >= self.taken) {
             return true;
         }
@@ -77,41 +81,39 @@
         if waited < self.settings.closed_wait {
             return false;
         }
-        if !std::mem::replace(&mut self.closed_doubted, true) {
+        if !std::mem::replace(&mut self.closed_wait_logged, true) {
             tracing::warn!(
                 waited_ms = worker::millis(waited),
                 closed = self.closed.len(),
-                "it can't be heard which halls are closed, those known before count"
+                "closed halls can't be read; placing by the last known ones"
             );
         }
         true
     }
 
-    /// Frees the tasks among some with recorded starts that would be ordered in a closed hall or on a worker that leaves, and
-    /// returns the others.
-    /// A gang with one such member is freed as a whole, since the others would wait for it in vain.
+    /// Releases the tasks among `starts` that must not be ordered any more, because their hall was
+    /// closed or their worker leaves, and returns the others. A gang with one such member is
+    /// released as a whole, since the others would wait for it in vain.
     pub(super) fn release_barred(&mut self, starts: &[spec::TaskId]) -> Vec<spec::TaskId> {
-        let closed: Vec<spec::TaskId> =
-            starts.iter().copied().filter(|task| self.is_staged_where_barred(*task)).collect();
-        let gangs: collections::BTreeSet<group::Group> = closed
+        let barred: Vec<spec::TaskId> =
+            starts.iter().copied().filter(|task| self.is_staged_on_barred(*task)).collect();
+        let gangs: collections::BTreeSet<group::Group> = barred
             .iter()
             .filter(|task| self.is_in_gang(**task))
             .map(|task| group::group(*task))
             .collect();
-        let (kept, freed): (Vec<spec::TaskId>, Vec<spec::TaskId>) = starts
+        let (kept, released): (Vec<spec::TaskId>, Vec<spec::TaskId>) = starts
             .iter()
-            .partition(|task| !closed.contains(task) && !gangs.contains(&group::group(**task)));
-        for task in freed {
-            self.free(
-                task,
-                "its worker leaves or its hall was closed before its start was ordered",
-            );
+            .partition(|task| !barred.contains(task) && !gangs.contains(&group::group(**task)));
+        for task in released {
+            self.free(task, "worker is leaving or hall was closed before the start was ordered");
         }
         kept
     }
 
-    /// Returns whether a task's start is recorded, or about to be, and not ordered, where nothing may start any more.
-    fn is_staged_where_barred(&self, task: spec::TaskId) -> bool {
+    /// Returns whether a task's start is staged or committed, but not yet ordered, on a worker that
+    /// must not get starts any more.
+    fn is_staged_on_barred(&self, task: spec::TaskId) -> bool {
         let staged =
             self.placed.get(&task).filter(|placed| placed.start_state == work::StartState::Staged);
         staged.is_some_and(|placed| {
--- a/crates/wharflane/src/job/gang.rs
+++ b/crates/wharflane/src/job/gang.rs
@@ -1,4 +1,4 @@
-//! Tasks that work only together: placed as one, done as one, failed as one.
+//! Gangs: steps whose tasks work only together. They are placed, completed and failed as a unit.
 
 use std::collections;
 use std::time;
@@ -12,8 +12,8 @@
 use crate::id;
 use crate::size;
 
-/// How a worker is chosen for a task, within one rack where it is given.
-type Choose = fn(
+/// Chooses a worker for a task, within one rack if given.
+type ChooseWorker = fn(
     &mut holding::Holding,
     spec::TaskId,
     &spec::Step,
@@ -21,29 +21,29 @@
     time::Duration,
 ) -> Option<id::Incarnation>;
 
-/// Places all tasks of a gang, or none; returns whether they found workers.
+/// Places all tasks of a gang or none; returns whether they were placed.
 pub(super) fn place(
     holding: &mut holding::Holding,
     ready: &work::Ready,
     step: &spec::Step,
-    choose: Choose,
+    choose: ChooseWorker,
     now: time::Duration,
 ) -> bool {
     let member = |index| spec::TaskId { index, ..ready.task };
-    // Members that are still there, or whose fate is open, must be over first.
+    // Members that still run, or may run, must end first.
     if (0..step.count).any(|index| holding.placed.contains_key(&member(index))) {
         return false;
     }
-    let Some(workers) = seek(holding, ready.task, step, choose, now) else {
+    let Some(workers) = choose_workers(holding, ready.task, step, choose, now) else {
         return false;
     };
     let members = 0..step.count;
-    let last = members.clone().map(|index| assign::last_run(holding, member(index)));
-    let run = last.max().unwrap_or(0) + 1;
+    let last_runs = members.clone().map(|index| assign::last_run(holding, member(index)));
+    let run = last_runs.max().unwrap_or(0) + 1;
     let checkpoint = common_checkpoint(holding, ready.task, step.count);
     for (index, worker) in members.zip(&workers) {
         let ready = work::Ready { task: member(index), ..*ready };
-        assign::assign(holding, &ready, step, worker, run);
+        assign::stage_start(holding, &ready, step, worker, run);
         if let Some(entry) = holding.jobs.get_mut(&ready.task.job)
             && let Some(state) = entry.progress.tasks.get_mut(&ready.task.into())
         {
@@ -53,28 +53,29 @@
     true
 }
 
-/// Returns a worker for each task of a gang, all in one rack where that is asked for and possible.
-fn seek(
+/// Returns a worker for each task of a gang, all in one rack if the step asks for that and one has
+/// the capacity.
+fn choose_workers(
     holding: &mut holding::Holding,
     task: spec::TaskId,
     step: &spec::Step,
-    choose: Choose,
+    choose: ChooseWorker,
     now: time::Duration,
 ) -> Option<Vec<id::Incarnation>> {
     if step.same_rack {
-        for rack in racks(holding, step) {
-            let workers = reserve(holding, task, step, (choose, Some(&rack)), now);
+        for rack in candidate_racks(holding, step) {
+            let workers = choose_within(holding, task, step, (choose, Some(&rack)), now);
             if workers.is_some() {
                 return workers;
             }
         }
     }
-    reserve(holding, task, step, (choose, None), now)
+    choose_within(holding, task, step, (choose, None), now)
 }
 
-/// Returns the racks whose free room is enough for a gang, the one with the data first, then the
-/// fullest first.
-fn racks(holding: &holding::Holding, step: &spec::Step) -> Vec<String> {
+/// Returns the racks with enough free capacity for a gang: the one with the data first, then in
+/// ascending order of free CPU.
+fn candidate_racks(holding: &holding::Holding, step: &spec::Step) -> Vec<String> {
     let mut free = collections::BTreeMap::<&str, size::Size>::new();
     for view in holding.views.values() {
         if let Some(rack) = view.member.rack.as_deref() {
@@ -83,18 +84,19 @@
         }
     }
     let need = step.reserved();
-    let whole = (0..step.count).fold(size::Size::default(), |sum, _| sum.plus(&need));
-    let mut racks: Vec<_> = free.into_iter().filter(|(_, free)| whole.fits(free)).collect();
+    let total = (0..step.count).fold(size::Size::default(), |sum, _| sum.plus(&need));
+    let mut racks: Vec<_> = free.into_iter().filter(|(_, free)| total.fits(free)).collect();
     racks.sort_by_key(|(rack, free)| (step.rack.as_deref() != Some(*rack), free.cpu_milli));
     racks.into_iter().map(|(rack, _)| rack.to_owned()).collect()
 }
 
-/// Chooses a worker for each task of a gang; leaves all rooms as they were.
-fn reserve(
+/// Chooses a worker for each task of a gang. Capacity is taken only during the search, so that
+/// members don't share it.
+fn choose_within(
     holding: &mut holding::Holding,
     task: spec::TaskId,
     step: &spec::Step,
-    (choose, rack): (Choose, Option<&str>),
+    (choose, rack): (ChooseWorker, Option<&str>),
     now: time::Duration,
 ) -> Option<Vec<id::Incarnation>> {
     let image = holding.learned.interference.image(step.image.as_deref());
@@ -117,18 +119,18 @@
     (workers.len() == step.count as usize).then_some(workers)
 }
 
-/// Returns the checkpoint that all members of a gang go on from.
+/// Returns the checkpoint from which all members of a gang resume.
 fn common_checkpoint(holding: &holding::Holding, task: spec::TaskId, count: u32) -> String {
     let tasks = (0..count).filter_map(|index| {
-        let place = progress::TaskPosition::from(spec::TaskId { index, ..task });
-        holding.jobs.get(&task.job)?.progress.tasks.get(&place)
+        let position = progress::TaskPosition::from(spec::TaskId { index, ..task });
+        holding.jobs.get(&task.job)?.progress.tasks.get(&position)
     });
-    // Checkpoints of one gang grow as texts, so the greatest has the most work in it.
+    // Checkpoints of a gang grow in lexical order, so the greatest contains the most work.
     tasks.map(|task| task.checkpoint.clone()).max().unwrap_or_default()
 }
 
-/// Notes how a run of one member ended, which holds for the gang as a whole: done as one, failed as one;
-/// returns whether that is news.
+/// Records the end of one member's run for all members, since a gang completes or fails as a unit;
+/// returns whether anything changed.
 pub(super) fn note_end(
     progress: &mut progress::Progress,
     task: spec::TaskId,
@@ -136,10 +138,10 @@
     run: u32,
     kind: order::EndKind,
 ) -> bool {
-    let mut news = false;
+    let mut changed = false;
     for index in 0..count {
-        let place = progress::TaskPosition::from(spec::TaskId { index, ..task });
-        news |= progress.tasks.entry(place).or_default().note_end(run, kind);
+        let position = progress::TaskPosition::from(spec::TaskId { index, ..task });
+        changed |= progress.tasks.entry(position).or_default().note_end(run, kind);
     }
-    news
+    changed
 }
--- a/crates/wharflane/src/job/headroom.rs
+++ b/crates/wharflane/src/job/headroom.rs
@@ -1,4 +1,4 @@
-//! What the serving tasks of a worker still bear, kept with the worker while it is fresh.
+//! Headroom: how much more strain the serving tasks of a worker can bear. It is cached per worker.
 
 use std::time;
 
@@ -8,15 +8,15 @@
 use super::worker;
 use crate::id;
 
-/// How long what a worker bears is taken as known while nothing is placed there: loads change over seconds,
-/// and figures of them come each half second.
-const FRESH: time::Duration = time::Duration::from_millis(100);
+/// How long a worker's headroom stays valid while nothing is placed there. Loads change over
+/// seconds, and their figures are updated every half second.
+const MAX_AGE: time::Duration = time::Duration::from_millis(100);
 
 impl holding::Holding {
-    /// Finds out anew what workers bear of which it is not known, or not fresh.
+    /// Recomputes the headroom of all workers where it is missing or stale.
     pub(super) fn refresh_headroom(&mut self, now: time::Duration) {
         let stale = self.views.iter().filter(|(_, view)| {
-            view.headroom.as_ref().is_none_or(|known| now.saturating_sub(known.at) >= FRESH)
+            view.headroom.as_ref().is_none_or(|known| now.saturating_sub(known.at) >= MAX_AGE)
         });
         let stale: Vec<id::Incarnation> = stale.map(|(worker, _)| worker.clone()).collect();
         for worker in stale {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Finds out anew what one worker bears.
+    /// Recomputes the headroom of one worker.
     pub(super) fn refresh_headroom_of(&mut self, worker: &id::Incarnation, now: time::Duration) {
         let headroom = self.views.get(worker).map(|view| self.headroom(view, now));
         if let Some(view) = self.views.get_mut(worker) {
@@ -32,21 +32,20 @@
         }
     }
 
-    /// Returns what a worker bears at the moment.
+    /// Computes the current headroom of a worker.
     pub(super) fn headroom(&self, view: &worker::View, now: time::Duration) -> worker::Headroom {
-        let uses: Vec<interference::Use> = view
+        let uses: Vec<interference::CpuUse> = view
             .filling
             .values()
-            .map(|filling| interference::Use {
+            .map(|filling| interference::CpuUse {
                 image: filling.image,
                 part: view.part(filling.cpu_milli),
             })
             .collect();
-        let kept_free = pace::MARGIN + pace::SLACK;
+        let margin = pace::STRAIN_MARGIN + pace::RAISE_SLACK;
         let left = view.serving.iter().map(|(task, serving)| {
             let own = self.own_load(task.job, now).unwrap_or(0.0);
-            let limit =
-                self.learned.interference.limit(serving.image, serving.target_ms) - kept_free;
+            let limit = self.learned.interference.limit(serving.image, serving.target_ms) - margin;
             (
                 serving.image,
                 limit - own - self.learned.interference.total_strain(serving.image, &uses),
--- a/crates/wharflane/src/job/holding.rs
+++ b/crates/wharflane/src/job/holding.rs
@@ -1,4 +1,4 @@
-//! What the holder of a domain keeps of its jobs and workers.
+//! The state that the holder of a domain's lease keeps of the domain's jobs and workers.
 
 use std::collections;
 use std::sync;
@@ -19,12 +19,12 @@
 use super::worker;
 use crate::id;
 
-/// A domain on its holder.
+/// A domain, as its holder sees it.
 #[derive(Debug)]
 pub struct Holding {
-    /// The times.
+    /// The timing settings of the engine.
     pub(super) settings: event::Settings,
-    /// The lease as it was written last.
+    /// The lease as last written.
     pub(super) lease: kept::Lease,
     /// The version of the lease row.
     pub(super) version: u64,
@@ -32,141 +32,151 @@
     pub(super) renewed: time::Duration,
     /// When the lease was taken.
     pub(super) taken: time::Duration,
-    /// The longest lease of tasks that the holder before asked for.
+    /// The longest task lease that the previous holder requested.
     pub(super) inherited: time::Duration,
-    /// When the event that is being taken came.
+    /// When the event in progress arrived.
     pub(super) now: time::Duration,
-    /// The time of day, in milliseconds since 1970.
+    /// The wall clock time, in milliseconds since 1970.
     pub(super) wall_ms: u64,
     /// The queues in force.
     pub(super) queues: sync::Arc<queue::Queues>,
-    /// The services whose workers jobs have been sent to; others are none of ours to call.
+    /// The services to whose workers jobs were ever assigned; workers of other services are not
+    /// contacted.
     pub(super) services: collections::BTreeSet<id::ServiceId>,
-    /// The jobs whose progress can't be read: nothing of them is started, since it may have been done.
+    /// The jobs whose progress can't be decoded. None of their tasks is started, since it may
+    /// already be done.
     pub(super) unreadable: collections::BTreeSet<spec::JobId>,
-    /// The jobs.
+    /// All jobs of the domain that are stored and readable, by ID.
     pub(super) jobs: collections::BTreeMap<spec::JobId, work::Entry>,
-    /// The workers.
+    /// The known workers, by incarnation.
     pub(super) views: collections::BTreeMap<id::Incarnation, worker::View>,
-    /// The halls that are closed.
+    /// The closed halls.
     pub(super) closed: collections::BTreeSet<id::HallId>,
-    /// When it was last heard which halls are closed.
+    /// When the closed halls were last read; `None` before the first reading.
     pub(super) closed_read_at: Option<time::Duration>,
-    /// Whether it was told that this can't be heard.
-    pub(super) closed_doubted: bool,
+    /// Whether a missing reading of the closed halls was logged.
+    pub(super) closed_wait_logged: bool,
     /// The tasks that have a worker.
     pub(super) placed: collections::BTreeMap<spec::TaskId, work::Placed>,
-    /// The tasks whose turn has come.
+    /// The tasks that wait for a worker.
     pub(super) ready: collections::BTreeMap<spec::TaskId, work::Ready>,
-    /// Rounds whose time has not come, by due time.
+    /// Rounds that are not due yet, by due time in milliseconds since 1970.
     pub(super) future: collections::BTreeSet<(u64, spec::JobId, u32)>,
-    /// The jobs whose progress is to be written.
+    /// The jobs whose progress must be written, in the order of their first change.
     pub(super) dirty: collections::VecDeque<spec::JobId>,
-    /// The jobs whose progress is to be removed, since their own rows are, with the number of its rows.
+    /// The jobs whose own rows are removed and whose progress rows must follow, with the number of
+    /// the latter.
     pub(super) expired: Vec<(spec::JobId, u32)>,
-    /// The ends that were taken in and not committed yet, by job.
+    /// The ends that were received and whose result is not committed yet, by job.
     pub(super) unrecorded: collections::BTreeMap<spec::JobId, Vec<(id::Incarnation, u64)>>,
-    /// What commits leave out after one was refused.
+    /// The limits on commits after one was refused.
     pub(super) commit_limits: pending::CommitLimits,
-    /// Starts that wait for their commit.
+    /// The tasks whose start waits for its commit.
     pub(super) staged: Vec<spec::TaskId>,
-    /// The transaction under way.
+    /// The transaction in flight.
     pub(super) pending: Option<pending::Pending>,
-    /// When the last transaction was gathered.
+    /// When the last transaction was built.
     pub(super) committed: time::Duration,
-    /// The number of commits.
+    /// The number of commits since the lease was taken.
     pub(super) commits: u64,
-    /// When what waits was last counted.
+    /// When the counts of waiting jobs were last written.
     pub(super) counted_at: time::Duration,
-    /// Up to which time of the store's clock all accepted jobs were heard of, in milliseconds.
+    /// All jobs accepted up to this time of the store's clock are known, in milliseconds.
     pub(super) jobs_read_up_to_ms: Option<u64>,
-    /// Whether anything that placement looks at has changed.
+    /// Whether anything that affects placement changed since the last pass.
     pub(super) changed: bool,
-    /// When placement was last tried.
+    /// When the last placement pass ran.
     pub(super) placed_at: time::Duration,
-    /// How often a worker was sought for a task.
+    /// The number of searches for a worker since the lease was taken.
     pub(super) worker_searches: u64,
-    /// How many tasks were started in need.
+    /// The number of starving tasks that were started since the lease was taken.
     pub(super) starvation_starts: u64,
-    /// The task in need for which a worker was sought last, so that they take turns.
-    pub(super) relieved_last: Option<spec::TaskId>,
-    /// Whether tasks that fill found no worker when they were last tried.
-    pub(super) fills_wait: bool,
-    /// Workers whose room is kept for lasting tasks that come back, until the next try.
-    pub(super) kept_for: collections::BTreeSet<id::Incarnation>,
-    /// Which workers may run steps whose queue asks for advice.
+    /// The starving task for which a worker was last searched; the next search begins after it, so
+    /// that all get their turn.
+    pub(super) last_starving: Option<spec::TaskId>,
+    /// Whether a best-effort task found no worker in the last pass.
+    pub(super) best_effort_waits: bool,
+    /// Workers whose free capacity is reserved for returning long-running tasks until the next
+    /// pass.
+    pub(super) reserved_workers: collections::BTreeSet<id::Incarnation>,
+    /// Tickets of steps whose queue uses the advice service.
     pub(super) tickets: tickets::Tickets,
-    /// When it was last told what keeps the tasks of a step waiting.
-    pub(super) told: collections::BTreeMap<group::Group, time::Duration>,
-    /// What was learned.
+    /// When the reason why a group waits was last logged.
+    pub(super) wait_logged_at: collections::BTreeMap<group::Group, time::Duration>,
+    /// The learned run times and interference.
     pub(super) learned: learned::Learned,
-    /// When what was learned was last written.
+    /// When the learned state was last written.
     pub(super) kept_at: time::Duration,
-    /// The strains of serving tasks as they were last told.
+    /// The strain of each serving task, from its last reported tail latency.
     pub(super) strains: collections::BTreeMap<spec::TaskId, worker::Strain>,
-    /// By how much the fences of workers are raised above the epoch; kept while the lease is, since the
-    /// workers remember it. All incarnations of a worker share it: an order meant for one may reach the next.
+    /// How far the fencing token of each worker is above the epoch. It is kept as long as the
+    /// lease, since workers remember the highest token. All incarnations of a worker share it,
+    /// because an order for one may reach the next.
     pub(super) fence_offsets: collections::BTreeMap<id::WorkerId, u64>,
-    /// Workers with starts that are to be given up, which the next look there settles.
+    /// Workers with starts to be abandoned, which the next heartbeat resolves.
     pub(super) unsettled: collections::BTreeSet<id::Incarnation>,
-    /// When stops that were not taken are given again.
+    /// When to repeat the stop orders that were not accepted.
     pub(super) stop_retries: collections::BTreeMap<spec::TaskId, time::Duration>,
-    /// The workers that are not listed, as they were written last.
+    /// The workers missing from the store's list, as last written.
     pub(super) unlisted: Vec<kept::Unlisted>,
-    /// What this host's link carries.
+    /// The load on this host's network link.
     pub(super) link: link::Link,
-    /// When most of the workers on which something runs were last silent at once.
+    /// When most of the workers with running tasks last fell silent at once.
     pub(super) mass_silence_at: Option<time::Duration>,
-    /// The tasks under which a worker was lost, as far as that still counts.
+    /// The tasks under which a worker was lost, as long as that matters.
     pub(super) loss_record: loss_record::LossRecord,
-    /// The jobs that were given up since workers crashed under a task.
+    /// The number of jobs that failed because workers crashed under one of their tasks.
     pub(super) given_up: u64,
-    /// How often a worker was found to have started again under its id.
+    /// The number of times that a worker turned out to have restarted under its ID.
     pub(super) restarted: u64,
     /// Whether a worker has seen a higher epoch.
     pub(super) fenced: bool,
-    /// Whether the lease is to be given up.
+    /// Whether the lease is to be released.
     pub(super) leaving: bool,
-    /// Whether it is given up with the next commit, whatever is not written yet: workers tell that to the next holder.
+    /// Whether the lease is released with the next commit even if other state is unwritten; the
+    /// next holder gets that state from the workers.
     pub(super) release_now: bool,
-    /// Effects that wait to be handed out.
+    /// Effects to return to the caller of the engine.
     pub(super) out: Vec<event::Effect>,
 }
 
-/// The state for operators.
+/// A summary of the state for operators.
 #[derive(Clone, Debug, serde::Serialize)]
 pub struct Dump {
     /// The epoch of the lease.
     pub epoch: u64,
-    /// Commits since the lease was taken.
+    /// The number of commits since the lease was taken.
     pub commits: u64,
-    /// Jobs by name with their phase.
+    /// The phase of each job, by ID.
     pub jobs: collections::BTreeMap<String, progress::Phase>,
-    /// Tasks whose turn has come.
+    /// The number of tasks that wait for a worker.
     pub ready: usize,
-    /// Tasks that have a worker.
+    /// The number of tasks that have a worker.
     pub placed: usize,
-    /// Workers that are looked at.
+    /// The number of known workers.
     pub workers: usize,
-    /// How often a worker was sought for a task, since the lease was taken.
+    /// The number of searches for a worker since the lease was taken.
     pub sought: u64,
-    /// How many tasks were started in need, since the lease was taken.
+    /// The number of starving tasks that were started since the lease was taken.
     pub relieved: u64,
-    /// How many jobs were given up since workers crashed under a task, since the lease was taken.
+    /// The number of jobs that failed because workers crashed under one of their tasks, since the
+    /// lease was taken.
     pub given_up: u64,
-    /// How often a worker was found to have started again under its id, since the lease was taken.
+    /// The number of times that a worker turned out to have restarted under its ID, since the lease
+    /// was taken.
     pub restarted: u64,
-    /// The pause between two looks at a busy worker, in milliseconds; more than 50 where the host's link is thin.
+    /// The interval between heartbeats of a busy worker, in milliseconds; more than 50 if the
+    /// host's link has little bandwidth.
     pub look_gap_ms: u64,
-    /// How long a task that its caller guesses at one second is likely to take, in milliseconds, by
+    /// The expected run time of a task whose caller estimates one second, in milliseconds, by
     /// queue.
     pub times_ms: collections::BTreeMap<String, f64>,
-    /// The strain that one image is learned to cause another.
+    /// The learned strain that one image causes another, by image names.
     pub harm: collections::BTreeMap<String, f64>,
 }
 
 impl Holding {
-    /// Makes a holder that knows no job yet.
+    /// Creates the state of a domain without jobs.
     pub(super) fn new(
         settings: event::Settings,
         lease: kept::Lease,
@@ -190,7 +200,7 @@
             views: collections::BTreeMap::new(),
             closed: collections::BTreeSet::new(),
             closed_read_at: None,
-            closed_doubted: false,
+            closed_wait_logged: false,
             placed: collections::BTreeMap::new(),
             ready: collections::BTreeMap::new(),
             future: collections::BTreeSet::new(),
@@ -208,11 +218,11 @@
             placed_at: time::Duration::ZERO,
             worker_searches: 0,
             starvation_starts: 0,
-            relieved_last: None,
-            fills_wait: false,
-            kept_for: collections::BTreeSet::new(),
+            last_starving: None,
+            best_effort_waits: false,
+            reserved_workers: collections::BTreeSet::new(),
             tickets: tickets::Tickets::default(),
-            told: collections::BTreeMap::new(),
+            wait_logged_at: collections::BTreeMap::new(),
             learned: learned::Learned::default(),
             kept_at: taken,
             strains: collections::BTreeMap::new(),
@@ -234,13 +244,13 @@
         holding
     }
 
-    /// Puts queues in force.
+    /// Puts a configuration of queues in force.
     pub(super) fn set_queues(&mut self, queues: sync::Arc<queue::Queues>) {
         self.services.extend(queues.queues.values().map(|queue| queue.service.clone()));
         self.queues = queues;
     }
 
-    /// Returns the state for operators.
+    /// Returns a summary of the state for operators.
     #[must_use]
     pub fn dump(&self) -> Dump {
         let jobs = self.jobs.iter().map(|(job, entry)| (job.to_string(), entry.progress.phase));
@@ -261,41 +271,44 @@
         }
     }
 
-    /// Returns how often a worker was sought for a task, since the lease was taken.
+    /// Returns the number of searches for a worker since the lease was taken.
     #[must_use]
     pub fn worker_searches(&self) -> u64 {
         self.worker_searches
     }
 
-    /// Returns how many jobs were given up since workers crashed under a task, since the lease was taken.
+    /// Returns the number of jobs that failed because workers crashed under one of their tasks,
+    /// since the lease was taken.
     #[must_use]
     pub fn given_up(&self) -> u64 {
         self.given_up
     }
 
-    /// Returns how often a worker was found to have started again under its id, since the lease was taken.
+    /// Returns the number of times that a worker turned out to have restarted under its ID, since
+    /// the lease was taken.
     #[must_use]
     pub fn restarted(&self) -> u64 {
         self.restarted
     }
 
-    /// Asks to give the lease up as soon as everything is written.
+    /// Requests that the lease be released once everything is written.
     pub(super) fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Asks to give the lease up with the next commit.
+    /// Requests that the lease be released with the next commit.
     pub(super) fn hand_over(&mut self) {
         self.leaving = true;
         self.release_now = true;
     }
 
-    /// Returns whether orders may be given: no other host may have taken the lease yet.
+    /// Returns whether orders may be sent, which requires that no other host can have taken the
+    /// lease yet.
     pub(super) fn may_order(&self, now: time::Duration) -> bool {
         now < self.renewed + self.settings.lease.saturating_sub(self.settings.margin)
     }
 
-    /// Notes the time of day and the rounds that have become due.
+    /// Advances the wall clock, opens rounds that became due, and runs periodic work.
     pub(super) fn tick(&mut self, now: time::Duration, wall_ms: u64) {
         self.wall_ms = wall_ms;
         while let Some((due_ms, job, round)) = self.future.first().copied() {
@@ -317,7 +330,7 @@
         self.free_lapsed(now);
     }
 
-    /// Acts on what has happened and returns what is to be done.
+    /// Places tasks, builds the next commit and returns all pending effects.
     pub(super) fn collect_effects(
         &mut self,
         now: time::Duration,
@@ -332,7 +345,7 @@
         std::mem::take(&mut self.out)
     }
 
-    /// Gives a task's room back and puts it up again where it is still wanted.
+    /// Logs a task's release from its worker and releases it.
     pub(super) fn free(&mut self, task: spec::TaskId, why: &'static str) {
         if let Some(placed) = self.placed.get(&task) {
             tracing::info!(%task, run = placed.run, worker = %placed.worker, why, "task freed");
@@ -340,7 +353,8 @@
         self.give_back(task);
     }
 
-    /// Gives a task's room back without a line of its own, for a run whose end was logged.
+    /// Releases a task from its worker and queues it again if it should still run. Nothing is
+    /// logged; the end of the run was.
     pub(super) fn give_back(&mut self, task: spec::TaskId) {
         let Some(placed) = self.placed.remove(&task) else {
             return;
--- a/crates/wharflane/src/job/intake.rs
+++ b/crates/wharflane/src/job/intake.rs
@@ -1,4 +1,5 @@
-//! Jobs as they come in, open up step by step, and end.
+//! The lifecycle of jobs in a domain: reads accepted jobs, opens their steps in order, ends and
+//! expires them.
 
 use std::collections;
 use std::sync;
@@ -14,23 +15,23 @@
 use crate::id;
 use crate::rows;
 
-/// The priority of jobs whose queue is not configured any more.
-const ORPHAN_PRIORITY: u32 = 9;
-/// The attempts of jobs whose queue is not configured any more.
-const ORPHAN_ATTEMPTS: u32 = 3;
+/// Priority of jobs whose queue is no longer configured.
+const UNCONFIGURED_PRIORITY: u32 = 9;
+/// Attempts per task for jobs whose queue is no longer configured.
+const UNCONFIGURED_MAX_ATTEMPTS: u32 = 3;
 
 impl holding::Holding {
-    /// Goes on from what holders before have learned; without it everything is learned anew.
+    /// Restores what earlier holders learned; whatever is missing is learned anew.
     pub(super) fn restore_learned(&mut self, learned: &[rows::Row]) {
         self.learned = learned::Learned::read(learned);
     }
 
-    /// Takes in all rows of the domain.
+    /// Loads all jobs of the domain and their progress.
     pub(super) fn load(&mut self, jobs: &[rows::Row], progress: &[rows::Row], now: time::Duration) {
         let mut known = collections::BTreeMap::<spec::JobId, (progress::Progress, u32)>::new();
         for row in progress {
             let (Some((job, at)), Some(text)) = (kept::progress_row(&row.name), &row.value) else {
-                tracing::warn!(key = %row.name, "row of progress without a job's name passed over");
+                tracing::warn!(key = %row.name, "skipped a progress row without a job ID");
                 continue;
             };
             let (progress, rows) = known.entry(job).or_default();
@@ -38,7 +39,7 @@
             match progress::Progress::decode(text) {
                 Ok(read) => progress.add_row(at, read),
                 Err(err) => {
-                    tracing::error!(%job, %err, "progress can't be read, the job is left alone");
+                    tracing::error!(%job, %err, "progress can't be decoded; the job is not run");
                     self.unreadable.insert(job);
                 }
             }
@@ -46,7 +47,7 @@
         known.retain(|job, _| !self.unreadable.contains(job));
         for row in jobs {
             let Some((job, accepted)) = read_job(row) else {
-                // What is known of its tasks stays, for the day on which the row can be read.
+                // The progress rows stay in the store until the job's row can be read again.
                 if let Some(job) = job_of(row) {
                     known.remove(&job);
                     self.unreadable.insert(job);
@@ -59,11 +60,11 @@
             let (progress, _) = known.remove(&job).unwrap_or_default();
             self.add_job(job, accepted, row.version, progress, now);
         }
-        // Their own rows were removed by a holder before.
+        // An earlier holder removed the rows of these jobs, but not yet their progress.
         self.expired.extend(known.into_iter().map(|(job, (_, rows))| (job, rows)));
     }
 
-    /// Takes in rows of accepted jobs that were written.
+    /// Applies rows of accepted or cancelled jobs.
     pub(super) fn jobs_read(&mut self, rows: &[rows::Row], now: time::Duration) {
         let parts: Vec<String> = kept::job_parts(self.settings.domain).collect();
         for row in rows.iter().filter(|row| parts.contains(&row.part)) {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Adds a job, with the tasks that may run and those whose turn has come.
+    /// Adds a job: its tasks with a worker as inherited, those of due rounds as waiting.
     fn add_job(
         &mut self,
         job: spec::JobId,
@@ -95,7 +96,7 @@
         let kept::Accepted { job: spec, cancelled, accepted_ms } = accepted;
         self.services.insert(spec.service.clone());
         let accepted_ms = if accepted_ms == 0 { self.wall_ms } else { accepted_ms };
-        for (place, task) in &progress.tasks {
+        for (position, task) in &progress.tasks {
             let Some(worker) = &task.worker else {
                 continue;
             };
@@ -109,11 +110,11 @@
                 stopped: None,
                 progress: (0, now),
             };
-            self.placed.insert(place.of(job), placed);
+            self.placed.insert(position.of(job), placed);
         }
         let lost =
             progress.tasks.iter().filter(|(_, task)| task.losses != progress::Losses::default());
-        lost.for_each(|(place, _)| self.loss_record.inherit(place.of(job), now));
+        lost.for_each(|(position, _)| self.loss_record.inherit(position.of(job), now));
         let ended = progress.phase.ended().then_some(now);
         let begun = progress.tasks.values().any(progress::Task::shows_work);
         let spec = sync::Arc::new(spec);
@@ -143,13 +144,13 @@
                 self.open_round(job, round);
             }
         }
-        tracing::debug!(%job, order, "job taken up");
+        tracing::debug!(%job, order, "job added");
         if cancelled {
             self.cancel(job, now);
         }
     }
 
-    /// Puts up the tasks of a round whose turn has come.
+    /// Opens all steps of a round that may start.
     pub(super) fn open_round(&mut self, job: spec::JobId, round: u32) {
         let Some(entry) = self.jobs.get(&job) else {
             return;
@@ -160,7 +161,8 @@
         }
     }
 
-    /// Puts up the tasks of a step if all steps before it are done.
+    /// Queues the tasks of a step that are neither done nor placed, if all steps before it are
+    /// done.
     pub(super) fn open_step(&mut self, job: spec::JobId, round: u32, step: u32) {
         let Some(entry) = self.jobs.get(&job) else {
             return;
@@ -170,7 +172,7 @@
         };
         let due_ms = entry.job.due_ms(round);
         if due_ms > self.wall_ms && entry.job.repeats.is_some() {
-            // The time of day may have gone back since the round was opened first.
+            // The wall clock may have gone back since the round was first opened.
             self.future.insert((due_ms, job, round));
             return;
         }
@@ -201,23 +203,25 @@
         self.changed = true;
     }
 
-    /// Returns the priority and the attempts that the queue of a job gives.
+    /// Returns the priority and the attempts per task that a job's queue configures.
     pub(super) fn priority_and_attempts(&self, job: &spec::Job) -> (u32, u32) {
         let queue = self.queues.queues.get(&job.queue);
-        queue.map_or((ORPHAN_PRIORITY, ORPHAN_ATTEMPTS), |q| (q.priority, q.max_attempts))
+        queue.map_or((UNCONFIGURED_PRIORITY, UNCONFIGURED_MAX_ATTEMPTS), |q| {
+            (q.priority, q.max_attempts)
+        })
     }
 
-    /// Returns the service whose workers run a job now.
+    /// Returns the service whose workers currently run a job.
     pub(super) fn service<'a>(&'a self, job: &'a spec::Job) -> &'a id::ServiceId {
         self.queues.queues.get(&job.queue).map_or(&job.service, |queue| &queue.service)
     }
 
-    /// Notes that the row of progress is to be written that tells what callers ask for.
+    /// Marks the progress row with the job's phase, which callers query, to be written.
     pub(super) fn mark(&mut self, job: spec::JobId) {
         self.mark_row(job, 0);
     }
 
-    /// Notes that the row of progress is to be written that holds a task.
+    /// Marks the progress row that holds a task to be written.
     pub(super) fn mark_task(&mut self, task: spec::TaskId) {
         if let Some(entry) = self.jobs.get(&task.job) {
             let row = progress::Progress::row_of(&entry.job, task.into());
@@ -225,28 +229,28 @@
         }
     }
 
-    /// Notes that a row of a job's progress is to be written.
+    /// Marks a progress row of a job to be written.
     fn mark_row(&mut self, job: spec::JobId, row: u32) {
         let Some(entry) = self.jobs.get_mut(&job) else {
             return;
         };
-        let clean = entry.dirty.is_empty();
+        let was_clean = entry.dirty.is_empty();
         entry.dirty.insert(row);
-        if clean && entry.set_aside.is_none() {
+        if was_clean && entry.set_aside.is_none() {
             self.dirty.push_back(job);
         }
     }
 
-    /// Notes that a task has begun, so that its job does not wait any more.
+    /// Records that a task of a job has begun, so that the job no longer counts as waiting.
     pub(super) fn note_begun(&mut self, job: spec::JobId) {
         let Some(entry) = self.jobs.get_mut(&job).filter(|entry| !entry.begun) else {
             return;
         };
         entry.begun = true;
-        tracing::debug!(%job, "first task seen to begin");
+        tracing::debug!(%job, "first task of the job has begun");
     }
 
-    /// Cancels a job and stops what runs of it.
+    /// Cancels a job and stops its running tasks.
     pub(super) fn cancel(&mut self, job: spec::JobId, now: time::Duration) {
         let Some(entry) = self.jobs.get_mut(&job).filter(|entry| entry.active()) else {
             return;
@@ -256,7 +260,7 @@
         self.end_job(job, progress::Phase::Cancelled, now);
     }
 
-    /// Ends a job and stops what runs of it.
+    /// Ends a job with a final phase and stops its running tasks.
     pub(super) fn end_job(
         &mut self,
         job: spec::JobId,
@@ -285,20 +289,21 @@
         }
     }
 
-    /// Removes the rows of jobs that ended long ago, their own first: a job without progress would run
-    /// again.
+    /// Removes the rows of jobs that ended long ago. The job's own row goes first, because a job
+    /// row without progress would run again.
     pub(super) fn expire(&mut self, now: time::Duration) {
         let keep = self.settings.keep;
-        // One whose tasks still run somewhere is kept: their room is given back by its steps.
-        let runs = |job: spec::JobId| {
+        // A job with running tasks is kept, since its steps are needed to release their capacity.
+        let has_placed_tasks = |job: spec::JobId| {
             let first = spec::TaskId { job, round: 0, step: 0, index: 0 };
             self.placed.range(first..).next().is_some_and(|(task, _)| task.job == job)
         };
-        let old = self.jobs.iter_mut().filter(|(job, entry)| {
-            entry.ended.is_some_and(|ended| now.saturating_sub(ended) >= keep) && !runs(**job)
+        let expired_jobs = self.jobs.iter_mut().filter(|(job, entry)| {
+            entry.ended.is_some_and(|ended| now.saturating_sub(ended) >= keep)
+                && !has_placed_tasks(**job)
         });
-        for (job, entry) in old {
-            // One that is not removed after all is tried again after as long.
+        for (job, entry) in expired_jobs {
+            // If the removal fails, it is retried after another `keep` period.
             entry.ended = Some(now);
             let key = kept::job_key(self.settings.domain, *job);
             let txn = rows::Txn {
@@ -309,16 +314,16 @@
         }
     }
 
-    /// Hands the progress of a job to the next commit for removal, once its own row is gone.
+    /// Queues a job's progress rows for removal in the next commit, once its own row is gone.
     pub(super) fn dropped(&mut self, job: spec::JobId, done: bool) {
-        tracing::debug!(%job, done, "row of an old job removed");
+        tracing::debug!(%job, done, "removal of an ended job's row answered");
         if let Some(entry) = self.jobs.get(&job).filter(|_| done) {
             self.expired.push((job, progress::Progress::rows(&entry.job)));
         }
     }
 }
 
-/// Reads the row of an accepted job.
+/// Decodes the row of an accepted job.
 fn read_job(row: &rows::Row) -> Option<(spec::JobId, kept::Accepted)> {
     let job = job_of(row)?;
     let text = row.value.as_deref()?;
@@ -331,11 +336,11 @@
     }
 }
 
-/// Returns the name of a job from the key of its row.
+/// Parses the job's ID from the key of its row.
 fn job_of(row: &rows::Row) -> Option<spec::JobId> {
     let job = row.name.parse().ok();
     if job.is_none() {
-        tracing::warn!(key = %row.name, "row without a job's name passed over");
+        tracing::warn!(key = %row.name, "skipped a row without a job ID");
     }
     job
 }
--- a/crates/wharflane/src/job/interference.rs
+++ b/crates/wharflane/src/job/interference.rs
@@ -1,104 +1,110 @@
-//! A learned model of who harms whom, by image.
+//! A learned model of the interference between images on one worker.
 //!
-//! A tail t of a serving task is read as a strain u = 1 - r/t, with r the tail of its image at rest,
-//! as for a queue whose waiting grows with 1/(1-u). Strains add up: the task's own load, alike for
-//! all tasks of its job at a time, and a share for each neighbour that fills, in proportion to the
-//! part of the worker's processors that it uses. docs/PLATFORM.md has the fit that speaks for it.
+//! The tail latency t of a serving task is converted to a strain u = 1 - r/t, where r is the tail
+//! latency of its image without load, as in a queue whose waiting time grows with 1/(1-u). Strains
+//! add up: the task's own load, which is the same for all tasks of a job at a time, plus a part for
+//! each best-effort neighbour in proportion to the fraction of the worker's CPU that it uses.
+//! docs/PLATFORM.md shows how well this model fits.
 
 use std::borrow;
 use std::collections;
 
 use serde::{Deserialize, Serialize};
 
-/// The strain that a whole worker's processors in use are taken to cause before any was seen.
-const PRIOR: f64 = 0.5;
-/// How sure that is, as a variance.
+/// Strain that an unknown best-effort image is assumed to cause if it used a whole worker's CPU.
+const PRIOR_STRAIN: f64 = 0.5;
+/// Variance of that assumption.
 const PRIOR_VARIANCE: f64 = 0.5;
-/// By how much a task's strain exceeds the least of its job where nothing fills.
-const OFFSET: f64 = 0.06;
-/// How sure that is, as a variance.
-const OFFSET_VARIANCE: f64 = 0.001;
-/// The variance of one strain around the model.
-const NOISE: f64 = 0.006;
-/// What one observation is worth after another one; forgets over some thousand.
-const MEMORY: f64 = 0.9995;
-/// The largest error that one observation may show; tails have outliers.
-const MOST_ERROR: f64 = 0.25;
-/// The least tail at rest as a part of the target, where no lower one was seen.
-const REST_OF_TARGET: f64 = 0.25;
-/// The highest strain that a tail is read as.
-const MOST_STRAIN: f64 = 0.98;
-
-/// The most images that are told apart; further ones count as one. Their names fill 40 KB of a row.
+/// Initial estimate of how far a task's strain exceeds the lowest of its job without best-effort
+/// neighbours.
+const PRIOR_OFFSET: f64 = 0.06;
+/// Variance of that estimate.
+const PRIOR_OFFSET_VARIANCE: f64 = 0.001;
+/// Variance of one observed strain around the model.
+const NOISE_VARIANCE: f64 = 0.006;
+/// Weight of an observation relative to the next one; the model forgets over some thousand
+/// observations.
+const FORGETTING_FACTOR: f64 = 0.9995;
+/// Bound of the error of one observation, since tail latencies have outliers.
+const MAX_ERROR: f64 = 0.25;
+/// Upper bound of the unloaded tail latency, as a fraction of the target; used until a lower one is
+/// observed.
+const PRIOR_REST_FRACTION: f64 = 0.25;
+/// Highest strain to which a tail latency is converted.
+const MAX_STRAIN: f64 = 0.98;
+
+/// Maximum number of distinct images; further ones share the last number. Their names take up to 40
+/// KB of a row.
 const MAX_IMAGES: usize = 500;
-/// The longest name of an image that is kept whole, in bytes; of a longer one its hash is kept.
+/// Maximum length of a stored image name, in bytes; a longer one is replaced by its hash.
 const MAX_NAME_BYTES: usize = 64;
-/// The most filling images that are weighed against one serving image; the one that was not seen for
-/// longest gives way. Their fit fills 16 KB of a row.
+/// Maximum number of best-effort images in the fit of one serving image; the least recently seen
+/// one is evicted. A fit takes up to 16 KB of a row.
 const MAX_FACTORS: usize = 48;
 
-/// An image, numbered by this holder.
+/// An image, by the number that this holder or an earlier one assigned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(super) struct Image(usize);
 
 impl Image {
-    /// Returns the number.
+    /// Returns the number of the image.
     pub fn number(self) -> usize {
         self.0
     }
 }
 
-/// Part of a worker's processors that tasks of an image use.
+/// CPU used by the tasks of one image on a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Use {
+pub(super) struct CpuUse {
     /// The image.
     pub image: Image,
-    /// The part, from zero to one.
+    /// The fraction of the worker's CPU, from zero to one.
     pub part: f64,
 }
 
-/// Least squares, one observation at a time, of the strain on one serving image.
+/// Recursive least squares fit of the strain on one serving image.
 ///
-/// The first factor is the offset, the others are the images in the order they were seen.
+/// The first factor is the offset; the others belong to best-effort images in the order of
+/// `images`.
 #[derive(Clone, Debug)]
-struct Fit {
-    /// The filling images.
+struct StrainFit {
+    /// The best-effort images.
     images: Vec<Image>,
-    /// The observation that each was last part of.
-    last: Vec<u64>,
-    /// The number of observations.
-    seen: u64,
-    /// The factors.
+    /// The number of the observation that last contained each image.
+    last_seen: Vec<u64>,
+    /// The number of observations so far.
+    observations: u64,
+    /// The estimated factors, the offset first.
     factors: Vec<f64>,
-    /// Their covariance.
+    /// The covariance of the factors.
     covariance: Vec<Vec<f64>>,
 }
 
-impl Default for Fit {
+impl Default for StrainFit {
     fn default() -> Self {
         Self {
             images: Vec::new(),
-            last: Vec::new(),
-            seen: 0,
-            factors: vec![OFFSET],
-            covariance: vec![vec![OFFSET_VARIANCE]],
+            last_seen: Vec::new(),
+            observations: 0,
+            factors: vec![PRIOR_OFFSET],
+            covariance: vec![vec![PRIOR_OFFSET_VARIANCE]],
         }
     }
 }
 
-/// A fit as it is kept.
+/// A fit in its stored form.
 #[derive(Serialize, Deserialize)]
-struct KeptFit {
-    /// The filling images.
+struct StoredFit {
+    /// The best-effort images.
     images: Vec<Image>,
     /// The factors, the offset first.
     factors: Vec<f32>,
-    /// The lower half of the covariance, row by row.
+    /// The lower triangle of the covariance, row by row.
     covariance: Vec<f32>,
 }
 
-impl From<&Fit> for KeptFit {
-    fn from(fit: &Fit) -> Self {
+impl From<&StrainFit> for StoredFit {
+    fn from(fit: &StrainFit) -> Self {
         let rows = fit.covariance.iter().enumerate();
         Self {
             images: fit.images.clone(),
@@ -108,44 +114,44 @@
     }
 }
 
-impl KeptFit {
-    /// Returns the fit, or nothing where the numbers don't belong together.
-    fn restore(self) -> Option<Fit> {
+impl StoredFit {
+    /// Returns the fit, or `None` if its lengths don't match or a value is not finite.
+    fn restore(self) -> Option<StrainFit> {
         let size = self.images.len() + 1;
-        let whole = self.factors.len() == size && self.covariance.len() == size * (size + 1) / 2;
+        let complete = self.factors.len() == size && self.covariance.len() == size * (size + 1) / 2;
         let finite = self.factors.iter().chain(&self.covariance).all(|value| value.is_finite());
-        if !whole || !finite {
+        if !complete || !finite {
             return None;
         }
-        // Cell (a, b) of the lower half stands behind all rows before a.
+        // Cell (a, b) of the lower triangle follows all rows before a.
         let cell = |a: usize, b: usize| f64::from(self.covariance[a * (a + 1) / 2 + b]);
         let row = |a: usize| (0..size).map(|b| cell(a.max(b), a.min(b))).collect();
         let covariance = (0..size).map(row).collect();
         let factors = self.factors.into_iter().map(f64::from).collect();
-        let last = vec![0; self.images.len()];
-        Some(Fit { images: self.images, last, seen: 0, factors, covariance })
+        let last_seen = vec![0; self.images.len()];
+        Some(StrainFit { images: self.images, last_seen, observations: 0, factors, covariance })
     }
 }
 
-impl Fit {
-    /// Returns the harm of a filling image.
+impl StrainFit {
+    /// Returns the strain that a best-effort image would cause if it used a whole worker's CPU.
     fn slope(&self, image: Image) -> f64 {
         let at = self.images.iter().position(|known| *known == image);
-        at.map_or(PRIOR, |at| self.factors[at + 1].max(0.0))
+        at.map_or(PRIOR_STRAIN, |at| self.factors[at + 1].max(0.0))
     }
 
-    /// Adds an image that was not seen before.
+    /// Marks an image as seen and adds it if it is new.
     fn add(&mut self, image: Image) {
         if let Some(at) = self.images.iter().position(|known| *known == image) {
-            self.last[at] = self.seen;
+            self.last_seen[at] = self.observations;
             return;
         }
         if self.images.len() >= MAX_FACTORS {
-            self.forget_oldest();
+            self.evict_oldest();
         }
         self.images.push(image);
-        self.last.push(self.seen);
-        self.factors.push(PRIOR);
+        self.last_seen.push(self.observations);
+        self.factors.push(PRIOR_STRAIN);
         self.covariance.iter_mut().for_each(|row| row.push(0.0));
         let mut row = vec![0.0; self.factors.len()];
         if let Some(own) = row.last_mut() {
@@ -154,13 +160,13 @@
         self.covariance.push(row);
     }
 
-    /// Forgets the image that was not seen for longest.
-    fn forget_oldest(&mut self) {
-        let Some((at, _)) = self.last.iter().enumerate().min_by_key(|(_, last)| **last) else {
+    /// Evicts the least recently seen image.
+    fn evict_oldest(&mut self) {
+        let Some((at, _)) = self.last_seen.iter().enumerate().min_by_key(|(_, last)| **last) else {
             return;
         };
         self.images.remove(at);
-        self.last.remove(at);
+        self.last_seen.remove(at);
         self.factors.remove(at + 1);
         self.covariance.remove(at + 1);
         for row in &mut self.covariance {
@@ -168,30 +174,31 @@
         }
     }
 
-    /// Takes one observation.
-    fn learn(&mut self, uses: &[Use], strain: f64) {
-        self.seen += 1;
+    /// Updates the fit with one observation.
+    fn learn(&mut self, uses: &[CpuUse], strain: f64) {
+        self.observations += 1;
         uses.iter().take(MAX_FACTORS).for_each(|used| self.add(used.image));
-        let mut seen = vec![1.0];
-        seen.extend(self.images.iter().map(|image| {
+        let mut features = vec![1.0];
+        features.extend(self.images.iter().map(|image| {
             uses.iter().find(|used| used.image == *image).map_or(0.0, |used| used.part)
         }));
-        let spread: Vec<f64> = self.covariance.iter().map(|row| dot(row, &seen)).collect();
-        let total = NOISE + dot(&spread, &seen);
-        let error = (strain - dot(&self.factors, &seen)).clamp(-MOST_ERROR, MOST_ERROR);
-        for (factor, spread) in self.factors.iter_mut().zip(&spread) {
-            *factor += error * spread / total;
+        let gain: Vec<f64> = self.covariance.iter().map(|row| dot(row, &features)).collect();
+        let variance = NOISE_VARIANCE + dot(&gain, &features);
+        let error = (strain - dot(&self.factors, &features)).clamp(-MAX_ERROR, MAX_ERROR);
+        for (factor, gain) in self.factors.iter_mut().zip(&gain) {
+            *factor += error * gain / variance;
         }
-        for (row, own) in self.covariance.iter_mut().zip(&spread) {
-            for (cell, other) in row.iter_mut().zip(&spread) {
-                *cell = (*cell - own * other / total) / MEMORY;
+        for (row, own) in self.covariance.iter_mut().zip(&gain) {
+            for (cell, other) in row.iter_mut().zip(&gain) {
+                *cell = (*cell - own * other / variance) / FORGETTING_FACTOR;
             }
         }
-        self.bound();
+        self.cap_variance();
     }
 
-    /// Keeps factors that were not seen for long from becoming less sure than at the start.
-    fn bound(&mut self) {
+    /// Caps the variance of each image's factor at its prior, since forgetting raises it without
+    /// bound for images that are not seen.
+    fn cap_variance(&mut self) {
         for at in 1..self.factors.len() {
             if self.covariance[at][at] > PRIOR_VARIANCE {
                 let scale = (PRIOR_VARIANCE / self.covariance[at][at]).sqrt();
@@ -202,43 +209,44 @@
     }
 }
 
-/// Returns the name by which an image is kept.
-fn kept_name(name: &str) -> borrow::Cow<'_, str> {
+/// Returns the stored form of an image name.
+fn stored_name(name: &str) -> borrow::Cow<'_, str> {
     if name.len() <= MAX_NAME_BYTES {
         return borrow::Cow::Borrowed(name);
     }
     borrow::Cow::Owned(format!("{:016x}", xxhash_rust::xxh3::xxh3_64(name.as_bytes())))
 }
 
-/// Returns the sum of the products of two rows.
+/// Returns the dot product of two rows.
 fn dot(a: &[f64], b: &[f64]) -> f64 {
     a.iter().zip(b).map(|(a, b)| a * b).sum()
 }
 
-/// What was learned; kept in the store from time to time, so that the next holder goes on from it.
+/// The interference model, written to the store from time to time so that the next holder resumes
+/// from it.
 #[derive(Debug, Default)]
 pub(super) struct Model {
-    /// The names of the images.
+    /// The stored image names, by number.
     names: Vec<String>,
-    /// The lowest tail seen of each serving image, in milliseconds.
+    /// The lowest observed tail latency of each serving image, in milliseconds.
     rest_ms: collections::BTreeMap<Image, f64>,
-    /// What strains each serving image.
-    fits: collections::BTreeMap<Image, Fit>,
+    /// The fit of each serving image.
+    fits: collections::BTreeMap<Image, StrainFit>,
 }
 
-/// The images as they are kept.
+/// The images in their stored form.
 #[derive(Serialize, Deserialize)]
-struct KeptImages {
-    /// Their names, by number.
+struct StoredImages {
+    /// The stored image names, by number.
     names: Vec<String>,
-    /// The lowest tail seen of each serving image, in milliseconds.
+    /// The lowest observed tail latency of each serving image, in milliseconds.
     rest_ms: collections::BTreeMap<Image, f64>,
 }
 
 impl Model {
-    /// Returns the number of an image.
+    /// Returns the number of an image; assigns one if it is new.
     pub fn image(&mut self, name: Option<&str>) -> Image {
-        let name = kept_name(name.unwrap_or_default());
+        let name = stored_name(name.unwrap_or_default());
         let known = self.names.iter().position(|known| *known == *name);
         Image(known.unwrap_or_else(|| {
             if self.names.len() < MAX_IMAGES {
@@ -248,41 +256,42 @@
         }))
     }
 
-    /// Returns the serving images of which something is known.
+    /// Returns the serving images that have a fit.
     pub fn serving(&self) -> Vec<Image> {
         self.fits.keys().copied().collect()
     }
 
-    /// Writes the names of images.
+    /// Encodes image names and unloaded tail latencies.
     pub fn encode_images(&self) -> Result<String, serde_json::Error> {
         let (names, rest_ms) = (self.names.clone(), self.rest_ms.clone());
-        serde_json::to_string(&KeptImages { names, rest_ms })
+        serde_json::to_string(&StoredImages { names, rest_ms })
     }
 
-    /// Reads the names of images.
+    /// Decodes image names and unloaded tail latencies.
     pub fn decode_images(&mut self, text: &str) -> Result<(), serde_json::Error> {
-        let kept: KeptImages = serde_json::from_str(text)?;
-        (self.names, self.rest_ms) = (kept.names, kept.rest_ms);
+        let stored: StoredImages = serde_json::from_str(text)?;
+        (self.names, self.rest_ms) = (stored.names, stored.rest_ms);
         Ok(())
     }
 
-    /// Writes what strains a serving image.
+    /// Encodes the fit of a serving image.
     pub fn encode_fit(&self, image: Image) -> Result<Option<String>, serde_json::Error> {
-        let fit = self.fits.get(&image).map(KeptFit::from);
+        let fit = self.fits.get(&image).map(StoredFit::from);
         fit.map(|fit| serde_json::to_string(&fit)).transpose()
     }
 
-    /// Reads what strains a serving image.
+    /// Decodes the fit of a serving image.
     pub fn decode_fit(&mut self, number: usize, text: &str) -> Result<(), serde_json::Error> {
-        let kept: KeptFit = serde_json::from_str(text)?;
-        match kept.restore() {
+        let stored: StoredFit = serde_json::from_str(text)?;
+        match stored.restore() {
             Some(fit) => drop(self.fits.insert(Image(number), fit)),
-            None => tracing::warn!(number, "numbers of an image don't belong together"),
+            None => tracing::warn!(number, "stored interference fit is inconsistent; dropping it"),
         }
         Ok(())
     }
 
-    /// Drops what is known of images that have no name, since their row could not be read.
+    /// Drops fits that refer to unnamed images, which happens if the row of names could not be
+    /// read.
     pub fn drop_unnamed(&mut self) {
         let named = self.names.len();
         self.rest_ms.retain(|image, _| image.0 < named);
@@ -291,49 +300,49 @@
         });
     }
 
-    /// Returns the tail at rest of a serving image.
+    /// Returns the unloaded tail latency of a serving image, in milliseconds.
     fn rest_ms(&self, image: Image, target_ms: u64) -> f64 {
-        let prior = target_ms as f64 * REST_OF_TARGET;
+        let prior = target_ms as f64 * PRIOR_REST_FRACTION;
         self.rest_ms.get(&image).map_or(prior, |rest| rest.min(prior))
     }
 
-    /// Reads a tail as a strain, and notes it where it is the lowest so far.
+    /// Converts a tail latency to a strain and updates the lowest observed one.
     pub fn strain(&mut self, image: Image, tail_ms: u64, target_ms: u64) -> f64 {
         let tail = tail_ms as f64;
         if tail_ms > 0 {
             let lowest = self.rest_ms.entry(image).or_insert(tail);
             *lowest = lowest.min(tail);
         }
-        (1.0 - self.rest_ms(image, target_ms) / tail.max(1.0)).clamp(0.0, MOST_STRAIN)
+        (1.0 - self.rest_ms(image, target_ms) / tail.max(1.0)).clamp(0.0, MAX_STRAIN)
     }
 
-    /// Returns the strain at which a serving image just keeps its target.
+    /// Returns the strain at which a serving image just meets its target.
     pub fn limit(&self, image: Image, target_ms: u64) -> f64 {
         1.0 - self.rest_ms(image, target_ms) / (target_ms.max(1) as f64)
     }
 
-    /// Returns the strain on an image by another, for a whole worker's processors.
+    /// Returns the strain on a serving image by a best-effort one that uses a whole worker's CPU.
     pub fn slope(&self, serving: Image, filling: Image) -> f64 {
-        self.fits.get(&serving).map_or(PRIOR, |fit| fit.slope(filling))
+        self.fits.get(&serving).map_or(PRIOR_STRAIN, |fit| fit.slope(filling))
     }
 
-    /// Returns the strain that a filling image causes each serving one, by the serving image's number, for a
-    /// whole worker's processors.
+    /// Returns the strain that a best-effort image causes each serving one, indexed by the number
+    /// of the serving image, if it used a whole worker's CPU.
     pub fn slopes_of(&self, filling: Image) -> Vec<f64> {
         (0..self.names.len()).map(|serving| self.slope(Image(serving), filling)).collect()
     }
 
-    /// Returns the strain on an image by all its neighbours.
-    pub fn total_strain(&self, serving: Image, uses: &[Use]) -> f64 {
+    /// Returns the strain on a serving image by all its neighbours.
+    pub fn total_strain(&self, serving: Image, uses: &[CpuUse]) -> f64 {
         uses.iter().map(|used| self.slope(serving, used.image) * used.part).sum()
     }
 
-    /// Learns from the strain that was seen beyond a task's own load.
-    pub fn learn(&mut self, serving: Image, uses: &[Use], strain: f64) {
+    /// Learns from the strain observed beyond a task's own load.
+    pub fn learn(&mut self, serving: Image, uses: &[CpuUse], strain: f64) {
         self.fits.entry(serving).or_default().learn(uses, strain);
     }
 
-    /// Returns what was learned, for operators.
+    /// Returns the learned strains by image names, for the operator's dump.
     pub fn dump(&self) -> collections::BTreeMap<String, f64> {
         let name = |image: &Image| self.names.get(image.0).map_or("", String::as_str);
         let mut harm = collections::BTreeMap::new();
--- a/crates/wharflane/src/job/learned.rs
+++ b/crates/wharflane/src/job/learned.rs
@@ -1,56 +1,57 @@
-//! What holders learn, and leave in the store to the next one.
+//! The learned state that holders write to the store for the next holder.
 //!
-//! It lies in several rows, each bounded by what it may hold, since the store takes 64 KB a row.
+//! It is split into several rows, each of bounded size, since the store accepts 64 KB per row.
 
 use super::interference;
 use super::times;
 use crate::rows;
 
-/// The row that names images.
-const IMAGES: &str = "images";
-/// The row of workers that are not listed, which is kept beside what is learned and read elsewhere.
+/// The row with the image names.
+const IMAGES_ROW: &str = "images";
+/// The row of workers missing from the store's list. It is stored beside the learned state, but
+/// read elsewhere.
 pub(super) const UNLISTED: &str = "unlisted";
-/// The row of times.
-const TIMES: &str = "times";
-/// What the names of rows about single serving images begin with.
-const FIT: &str = "fit-";
-/// The most rows about serving images in one write; more of them take turns.
-const FITS_AT_ONCE: usize = 8;
+/// The row with the run times.
+const TIMES_ROW: &str = "times";
+/// Prefix of the rows with the fit of one serving image.
+const FIT_ROW_PREFIX: &str = "fit-";
+/// Maximum number of fit rows in one write; a larger number is written in turns.
+const MAX_FITS_PER_WRITE: usize = 8;
 
-/// What holders learn.
+/// The learned state of a domain.
 #[derive(Debug, Default)]
 pub(super) struct Learned {
-    /// Who harms whom.
+    /// The interference between images.
     pub interference: interference::Model,
-    /// How long tasks take.
+    /// The run times of tasks by queue.
     pub times: times::Times,
-    /// Where the next write goes on among the rows about serving images.
-    turn: usize,
+    /// The fit with which the next write begins.
+    next_fit: usize,
 }
 
 impl Learned {
-    /// Returns rows to write, as names and values.
+    /// Returns the rows to write, as names and values.
     ///
     /// # Errors
-    /// Returns the encoder's error.
+    /// Returns the error of the encoder.
     pub fn rows(&mut self) -> Result<Vec<(String, String)>, serde_json::Error> {
         let mut rows = vec![
-            (IMAGES.to_owned(), self.interference.encode_images()?),
-            (TIMES.to_owned(), serde_json::to_string(&self.times)?),
+            (IMAGES_ROW.to_owned(), self.interference.encode_images()?),
+            (TIMES_ROW.to_owned(), serde_json::to_string(&self.times)?),
         ];
         let fits = self.interference.serving();
-        let taken = fits.len().min(FITS_AT_ONCE);
-        for at in 0..taken {
-            let image = fits[(self.turn + at) % fits.len()];
+        let count = fits.len().min(MAX_FITS_PER_WRITE);
+        for at in 0..count {
+            let image = fits[(self.next_fit + at) % fits.len()];
             if let Some(fit) = self.interference.encode_fit(image)? {
-                rows.push((format!("{FIT}{}", image.number()), fit));
+                rows.push((format!("{FIT_ROW_PREFIX}{}", image.number()), fit));
             }
         }
-        self.turn = self.turn.wrapping_add(taken);
+        self.next_fit = self.next_fit.wrapping_add(count);
         Ok(rows)
     }
 
-    /// Reads rows; what can't be read is learned anew.
+    /// Restores the state from its rows; what can't be decoded is learned anew.
     pub fn read(rows: &[rows::Row]) -> Self {
         let mut learned = Self::default();
         for row in rows {
@@ -59,18 +60,23 @@
             };
             let read = match row.name.as_str() {
                 UNLISTED => Ok(()),
-                IMAGES => learned.interference.decode_images(text),
-                TIMES => serde_json::from_str(text).map(|times| learned.times = times),
-                name => match name.strip_prefix(FIT).and_then(|number| number.parse().ok()) {
-                    Some(number) => learned.interference.decode_fit(number, text),
-                    None => {
-                        tracing::warn!(key = name, "unknown row of what was learned passed over");
-                        Ok(())
+                IMAGES_ROW => learned.interference.decode_images(text),
+                TIMES_ROW => serde_json::from_str(text).map(|times| learned.times = times),
+                name => {
+                    match name.strip_prefix(FIT_ROW_PREFIX).and_then(|number| number.parse().ok()) {
+                        Some(number) => learned.interference.decode_fit(number, text),
+                        None => {
+                            tracing::warn!(key = name, "skipped an unknown row of learned state");
+                            Ok(())
+                        }
                     }
-                },
+                }
             };
             if let Err(err) = read {
-                tracing::warn!(key = %row.name, %err, "what was learned can't be read, learned anew");
+                tracing::warn!(
+                    key = %row.name, %err,
+                    "learned state can't be decoded; learning it anew"
+                );
             }
         }
         learned.interference.drop_unnamed();
--- a/crates/wharflane/src/job/loading.rs
+++ b/crates/wharflane/src/job/loading.rs
@@ -1,4 +1,4 @@
-//! Reads the state of a domain whose lease was just taken, and begins to hold it.
+//! Loads the state of a domain after its lease was taken, and renews the lease meanwhile.
 
 use std::sync;
 use std::time;
@@ -11,20 +11,21 @@
 use super::worker;
 use crate::rows;
 
-/// For how many leases the state may be read, each renewed in time; a host that needs longer keeps stronger ones out.
-const LOAD_LEASES: u32 = 2;
+/// How many lease periods loading may take, each renewed in time. A host that needs longer would
+/// keep faster ones from taking over.
+const MAX_LOAD_LEASES: u32 = 2;
 
 impl engine::Engine {
-    /// Renews the lease while the state is being read, as long as that may take.
+    /// Renews the lease while loading, or steps down if loading takes too long.
     pub(super) fn go_on_loading(&mut self, now: time::Duration) -> Vec<event::Effect> {
         let engine::Role::Loading { lease, version, taken, renewed, renewal, .. } = &mut self.role
         else {
             return Vec::new();
         };
-        let lasts = self.settings.lease.saturating_sub(self.settings.margin);
-        let most = lasts * LOAD_LEASES;
-        if now.saturating_sub(*renewed) >= lasts || now.saturating_sub(*taken) >= most {
-            self.step_down(now, "the state was not read within the lease");
+        let lease_time = self.settings.lease.saturating_sub(self.settings.margin);
+        let max_loading = lease_time * MAX_LOAD_LEASES;
+        if now.saturating_sub(*renewed) >= lease_time || now.saturating_sub(*taken) >= max_loading {
+            self.step_down(now, "the state was not loaded in time");
             return Vec::new();
         }
         let due = match renewal {
@@ -34,18 +35,18 @@
         if !due {
             return Vec::new();
         }
-        // A host that stops gives the lease up rather than to renew it.
+        // A stopping host releases the lease instead of renewing it.
         let holder = lease.holder.clone().filter(|_| !self.leaving);
-        let first = || engine::Renewal {
+        let new_renewal = || engine::Renewal {
             number: None,
             lease: kept::Lease { seq: lease.seq + 1, holder, ..lease.clone() },
             sent: now,
         };
-        let renewal = renewal.get_or_insert_with(first);
+        let renewal = renewal.get_or_insert_with(new_renewal);
         let txn = match commit::lease_txn(self.settings.domain, *version, &renewal.lease) {
             Ok(txn) => txn,
             Err(err) => {
-                tracing::error!(%err, "the lease can't be encoded, it is not renewed");
+                tracing::error!(%err, "the lease can't be encoded; not renewing it");
                 return Vec::new();
             }
         };
@@ -54,27 +55,27 @@
         vec![event::Effect::Txn(self.numbers, txn)]
     }
 
-    /// Takes the answer to a renewal made while the state is being read.
+    /// Applies the result of a lease renewal that was made while loading.
     pub(super) fn renewed(&mut self, now: time::Duration, number: u64, outcome: &rows::Outcome) {
         let engine::Role::Loading { lease, version, renewed, renewal, .. } = &mut self.role else {
             return;
         };
-        let Some(mut made) = renewal.take_if(|renewal| renewal.number == Some(number)) else {
+        let Some(mut in_flight) = renewal.take_if(|renewal| renewal.number == Some(number)) else {
             return;
         };
-        match (commit::committed_version(outcome, &made.lease), outcome) {
-            (Some(_), _) if made.lease.holder.is_none() => {
+        match (commit::committed_version(outcome, &in_flight.lease), outcome) {
+            (Some(_), _) if in_flight.lease.holder.is_none() => {
                 self.step_down(now, "the lease was given up");
             }
             (Some(written), _) => {
                 *version = written;
-                *renewed = made.sent;
-                *lease = made.lease;
+                *renewed = in_flight.sent;
+                *lease = in_flight.lease;
             }
             (None, rows::Outcome::Unknown) => {
-                // It may have been made, so only the same write can follow.
-                made.number = None;
-                *renewal = Some(made);
+                // The write may have been committed, so only the same write may follow.
+                in_flight.number = None;
+                *renewal = Some(in_flight);
             }
             (None, rows::Outcome::Answered(_)) => {
                 self.step_down(now, "another host has the lease");
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Begins to hold the domain with the state that was read.
+    /// Starts to hold the domain with the loaded state.
     pub(super) fn loaded(
         &mut self,
         now: time::Duration,
@@ -114,7 +115,7 @@
         holding.restore_learned(learned);
         holding.load(jobs, progress, now);
         holding.set_members(&self.members, now);
-        holding.set_closed(&self.closed_halls);
+        holding.set_closed_halls(&self.closed_halls);
         holding.restore_unlisted(learned, now);
         holding.stop_unwanted(now);
         if self.leaving {
--- a/crates/wharflane/src/job/mod.rs
+++ b/crates/wharflane/src/job/mod.rs
@@ -1,8 +1,9 @@
-//! The job service: jobs that callers hand in, and the engine that runs them on workers.
+//! The job service: accepts jobs from callers and runs them on workers.
 //!
-//! The engine neither sends nor waits: events go in, effects come out. One host at a time holds a
-//! domain, by a lease row that each of its writes renews and is conditional on. What a caller or a
-//! worker is told always follows a committed write.
+//! The engine does no I/O and never blocks: it takes events and returns effects. One host at a time
+//! holds a domain. It does so by a lease row that each of its writes renews and is conditional on.
+//! Nothing is reported to a caller or ordered from a worker before the write behind it is
+//! committed.
 
 mod acks;
 mod acquire;
--- a/crates/wharflane/src/job/obstacle.rs
+++ b/crates/wharflane/src/job/obstacle.rs
@@ -1,35 +1,36 @@
-//! Why a worker does not take a task.
+//! Reasons why a worker can't take a task.
 
 use super::group;
 use super::spec;
 use super::worker;
 use crate::id;
 
-/// What keeps a task from a worker.
+/// A reason that keeps a task from a worker, in the order of the checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Obstacle {
     /// The worker runs another service.
     Service,
-    /// It lacks the label that the step asks for.
+    /// The worker lacks the label that the step requires.
     Label,
-    /// Its hall is closed.
+    /// The worker's hall is closed.
     Closed,
-    /// It does not answer, is about to leave, or rests.
+    /// The worker is silent, leaving or in quarantine.
     Unavailable,
-    /// What is free there is too small.
+    /// The worker's free capacity is too small.
     Room,
-    /// It holds as many tasks of the step as may be together.
+    /// The worker holds the maximum number of tasks of the step.
     Spread,
-    /// Its room is kept for a lasting task that comes back.
-    Kept,
-    /// There is no ticket for it.
+    /// The worker's capacity is reserved for a returning long-running task.
+    Reserved,
+    /// No valid ticket for the worker is known.
     Ticket,
-    /// A serving task there would miss its target, or processors are short.
-    Harm,
+    /// A serving task there would miss its target, or too little CPU is left for a best-effort
+    /// task.
+    Interference,
 }
 
-/// Returns what keeps a task from a worker before harm is weighed; `takes` tells whether the worker takes new
-/// tasks of this kind.
+/// Returns the first obstacle apart from reservations, tickets and interference. `takes` says
+/// whether the worker accepts new tasks of this kind at all.
 pub(super) fn plain(
     view: &worker::View,
     service: &id::ServiceId,
@@ -52,13 +53,13 @@
     if !step.reserved().fits(&view.free()) {
         return Some(Obstacle::Room);
     }
-    (!spread(view, task, step)).then_some(Obstacle::Spread)
+    (!has_place_left(view, task, step)).then_some(Obstacle::Spread)
 }
 
 /// Returns whether a worker may hold one more task of the step.
-fn spread(view: &worker::View, task: spec::TaskId, step: &spec::Step) -> bool {
+fn has_place_left(view: &worker::View, task: spec::TaskId, step: &spec::Step) -> bool {
     let Some(most) = step.max_per_worker else {
         return true;
     };
-    view.tasks.range(group::kin(task)).count() < most as usize
+    view.tasks.range(group::siblings(task)).count() < most as usize
 }
--- a/crates/wharflane/src/job/order.rs
+++ b/crates/wharflane/src/job/order.rs
@@ -1,4 +1,4 @@
-//! What the holder of a domain and its workers tell each other.
+//! Messages between the holder of a domain and its workers, independent of the wire format.
 
 use std::net;
 use std::time;
@@ -7,130 +7,131 @@
 use crate::id;
 use crate::size;
 
-/// A worker as the store lists it.
+/// A worker as listed in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The incarnation of the worker that the entry tells of.
+    /// The incarnation of the worker that wrote the entry.
     pub incarnation: id::Incarnation,
-    /// Where it takes orders.
+    /// The address at which it accepts orders.
     pub addr: net::SocketAddr,
-    /// The hall that it stands in.
+    /// The hall in which it runs.
     pub hall: id::HallId,
-    /// The service that it belongs to.
+    /// The service to which it belongs.
     pub service: id::ServiceId,
     /// Whether it is about to leave.
     pub leaving: bool,
-    /// What it has.
+    /// Its total capacity.
     pub capacity: size::Size,
-    /// Its kind, its rack and whatever else steps may ask for.
+    /// Its kind, its rack and any other labels that steps may require.
     pub labels: Vec<String>,
-    /// The rack that it stands in, where it is known.
+    /// The rack in which it runs, if known.
     pub rack: Option<String>,
 }
 
-/// To whom an order goes, and with what authority.
+/// The addressee and the authority of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// The incarnation of the worker that is meant.
+    /// The incarnation of the worker that is addressed; another one must not carry the order out.
     pub worker: id::Incarnation,
-    /// Where it takes orders.
+    /// The address at which it accepts orders.
     pub addr: net::SocketAddr,
-    /// The task.
+    /// The task that the order concerns.
     pub task: spec::TaskId,
-    /// The number of the start.
+    /// The run of the task that the order concerns.
     pub run: u32,
-    /// The epoch of the holder.
+    /// The fencing token: the holder's epoch, raised where needed.
     pub epoch: u64,
 }
 
-/// An order to start a task; repeating it has no effect.
+/// An order to start a task; idempotent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Start {
-    /// To whom.
+    /// The addressee and the authority.
     pub order: Order,
-    /// The text that the task is given.
+    /// The opaque text from the caller that every task of the job receives.
     pub spec: String,
-    /// Until when what runs on the worker may run, by the worker's clock.
+    /// End of the lease of all runs on the worker, by the worker's clock.
     pub lease_until_ms: u64,
-    /// The progress to go on from; empty for none.
+    /// The checkpoint from which to resume; empty for none.
     pub checkpoint: String,
-    /// What proves that the worker may run the step; empty where nothing has to.
+    /// The ticket that permits the step on this worker; empty if none is required.
     pub ticket: String,
 }
 
-/// An order to work at a share.
+/// An order to throttle a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pace {
-    /// To whom.
+    /// The addressee and the authority.
     pub order: Order,
-    /// The share, from 0 to 100.
+    /// The CPU share of the task, from 0 to 100 percent.
     pub percent: u8,
 }
 
-/// What became of an order to start.
+/// The result of a start order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartAnswer {
-    /// The run is there.
+    /// The run exists on the worker.
     Taken,
-    /// It was refused.
+    /// The worker refused the start.
     Refused(StartRefusal),
-    /// Another incarnation answers at the address: the one that was meant is over.
+    /// Another incarnation answers at the address, so the addressed one is gone.
     Gone,
-    /// The worker is not well and has done nothing.
+    /// The worker reports itself unhealthy and did nothing.
     Unwell,
-    /// No answer came: it may have been done, or may be done later.
+    /// No answer came: the order may have been carried out, or may be later.
     Silent,
 }
 
 /// Why a worker refuses a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartRefusal {
-    /// It has seen a higher epoch.
+    /// It has seen a higher fencing token.
     Fenced,
-    /// A run that is not lower was stopped or ended there.
+    /// The same run or a later one has already been stopped or has ended there.
     Old,
-    /// The time given is over.
+    /// The lease in the order has already expired.
     Late,
-    /// There is no room.
+    /// The worker's free capacity is too small.
     Room,
-    /// The ticket is not valid there any more.
+    /// The ticket is no longer valid there.
     Ticket,
-    /// Anything else; nothing was done.
+    /// Any other reason; nothing was done.
     Other,
 }
 
-/// A look at a worker: it renews the lease, acknowledges ends, and asks for both lists.
+/// A heartbeat ("look") to a worker: renews the lease of its runs, acknowledges ends, and requests
+/// its running and ended runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// The incarnation of the worker that is meant.
+    /// The incarnation of the worker that is addressed.
     pub worker: id::Incarnation,
-    /// Where it takes orders.
+    /// The address at which it accepts orders.
     pub addr: net::SocketAddr,
-    /// The epoch of the holder.
+    /// The fencing token: the holder's epoch, raised where needed.
     pub epoch: u64,
-    /// Ends up to this number are kept and need not be told again.
+    /// Ends up to this number are recorded, so the worker need not report them again.
     pub seen: u64,
-    /// Until when what runs may run, by the worker's clock; nothing leaves the lease as it is.
+    /// New end of the lease of its runs, by the worker's clock; `None` leaves the lease unchanged.
     pub lease_until_ms: Option<u64>,
-    /// How long the answer may wait for an end.
+    /// How long the worker may hold the answer back until a run ends.
     pub wait: time::Duration,
 }
 
-/// What came of a look.
+/// The result of a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HeartbeatAnswer {
-    /// Both lists.
+    /// The worker's running and ended runs.
     Lists(Lists),
-    /// The worker has seen a higher epoch.
+    /// The worker has seen a higher fencing token.
     Fenced,
-    /// Another incarnation answers at the address: the one that was meant is over.
+    /// Another incarnation answers at the address, so the addressed one is gone.
     Gone,
-    /// No useful answer came.
+    /// No usable answer came.
     Silent,
 }
 
 impl HeartbeatAnswer {
-    /// Returns the incarnation of a worker that answered, where it tells and is not the one that was meant.
+    /// Returns the incarnation that answered, if it is known and differs from the addressed one.
     #[must_use]
     pub fn other_incarnation(&self, meant: &id::Incarnation) -> Option<id::Incarnation> {
         let Self::Lists(Lists { born_ms: Some(born_ms), .. }) = self else {
@@ -141,66 +142,68 @@
     }
 }
 
-/// What runs on a worker and what has ended there.
+/// The runs on a worker and the ends that it has not had acknowledged.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Lists {
-    /// When the incarnation began that answered, in milliseconds since 1970; nothing where it does not tell.
+    /// When the answering incarnation started, in milliseconds since 1970; `None` if the worker
+    /// does not report it.
     pub born_ms: Option<u64>,
-    /// The worker's clock when it answered.
+    /// The worker's clock when it answered, in milliseconds.
     pub clock_ms: u64,
-    /// What runs.
+    /// The current runs.
     pub running: Vec<Running>,
-    /// Ends that were not acknowledged before, in order.
+    /// Ends that are not acknowledged yet, in order.
     pub ended: Vec<Ended>,
 }
 
-/// A task that runs.
+/// A current run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Running {
-    /// The task.
+    /// The task that runs.
     pub task: spec::TaskId,
-    /// The number of the start.
+    /// The number of the run.
     pub run: u32,
-    /// How far it is, in percent; lasting tasks at work have 100.
+    /// Progress in percent; long-running tasks report 100 while they work.
     pub percent: u64,
-    /// For a serving task the tail of its answer times, in milliseconds; else processors in use.
+    /// The tail latency of a serving task, in milliseconds; for any other task the CPU in use, in
+    /// thousandths of a core.
     pub load: u64,
 }
 
 /// A run that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ended {
-    /// Numbers the ends of one incarnation of the worker, from one.
+    /// Sequence number of the end, counted from one by each incarnation of the worker.
     pub number: u64,
-    /// The task.
+    /// The task that ended.
     pub task: spec::TaskId,
-    /// The number of the start.
+    /// The number of the run.
     pub run: u32,
-    /// How it ended.
+    /// How the run ended.
     pub kind: EndKind,
-    /// What it saved last; empty for nothing.
+    /// The last checkpoint that it saved; empty if there is none.
     pub checkpoint: String,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndKind {
-    /// Its work is done.
+    /// It completed its work.
     Done,
     /// It failed, by its own fault or the worker's.
     Failed,
-    /// It was stopped.
+    /// It was stopped by an order.
     Stopped,
-    /// The lease lapsed.
+    /// Its lease expired.
     Lapsed,
-    /// Another member of its gang ended.
+    /// It was ended because another member of its gang ended.
     Broken,
-    /// The other members of its gang did not come.
+    /// It was ended because the other members of its gang did not start.
     Alone,
 }
 
 impl EndKind {
-    /// Returns the name for logs.
+    /// Returns the name used in logs.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
--- a/crates/wharflane/src/job/pace.rs
+++ b/crates/wharflane/src/job/pace.rs
@@ -1,4 +1,5 @@
-//! Holds back tasks that fill a worker while a lasting task there would miss its target.
+//! Throttles best-effort tasks on workers where a serving task would otherwise miss its latency
+//! target.
 
 use std::collections;
 use std::time;
@@ -12,48 +13,51 @@
 use super::worker;
 use crate::id;
 
-/// The strain that is kept free below a target: figures are rough and loads rise meanwhile. While work that
-/// fills waits for workers it counts for placement alone, and what runs is held back only for a missed target.
-pub(super) const MARGIN: f64 = 0.05;
-/// The strain that must be free beyond the margin before work is let go faster.
-pub(super) const SLACK: f64 = 0.04;
-/// How long a change takes to show: it applies after 100 ms, and figures are of half a second.
-const SETTLE: time::Duration = time::Duration::from_millis(650);
-/// How old a tail may be to tell the own load of its job.
-const FRESH: time::Duration = time::Duration::from_millis(1_300);
-/// How long a miss holds that is not told again: a task without users tells no tail. Twice as long as a tail
-/// tells the own load, since looks may be late.
-const MISS_TOLD: time::Duration = time::Duration::from_millis(2_600);
-/// The least change of a share that is ordered, in percent.
-const LEAST_CHANGE: f64 = 8.0;
-/// From which part of its processors on a task is taken not to be held back, in percent: in their calm
+/// Strain that is kept free below a target, since figures are imprecise and loads rise meanwhile.
+/// While best-effort tasks wait for workers it applies to placement only, and running tasks are
+/// throttled only for a missed target.
+pub(super) const STRAIN_MARGIN: f64 = 0.05;
+/// Strain that must be free beyond the margin before throttled tasks get a larger share.
+pub(super) const RAISE_SLACK: f64 = 0.04;
+/// How long a changed share takes to show: it applies after 100 ms, and figures cover half a
+/// second.
+const SETTLE_TIME: time::Duration = time::Duration::from_millis(650);
+/// Maximum age of a tail latency from which the own load of its job is estimated.
+const MAX_TAIL_AGE: time::Duration = time::Duration::from_millis(1_300);
+/// How long a missed target counts without a new report, since a task without requests reports no
+/// tail latency. Twice the maximum age of a tail latency, since heartbeats may be late.
+const MAX_MISS_AGE: time::Duration = time::Duration::from_millis(2_600);
+/// Smallest change of a share that is ordered, in percent.
+const MIN_CHANGE_PERCENT: f64 = 8.0;
+/// CPU use, in percent of the request, from which on a task is assumed not to be throttled; in calm
 /// phases tasks use two thirds.
-const UNPACED_USE: u64 = 60;
-/// The strain below which holding a task back gains nothing that a tail would show.
-const LEAST_STRAIN: f64 = 0.01;
-/// How long a target may be missed before everything that fills the worker stands still, whatever
-/// the model says; the users allow 4 s, and a change takes up to 1.2 s to show.
-const PATIENCE: time::Duration = time::Duration::from_millis(1_900);
-/// The most by which a share grows at a time, in percent.
-const MOST_GROWTH: f64 = 60.0;
-/// The share below which a task is rather moved, in percent.
-const MOVE_BELOW: u8 = 15;
-/// How long a task may be held back so far before it is moved.
+const UNTHROTTLED_USE_PERCENT: u64 = 60;
+/// Strain below which throttling a task has no effect that a tail latency would show.
+const MIN_STRAIN: f64 = 0.01;
+/// How long a target may be missed before all best-effort tasks of the worker are stopped from
+/// using CPU, regardless of the model. The requirement allows 4 s, and a change takes up to 1.2 s
+/// to show.
+const MAX_MISS_DURATION: time::Duration = time::Duration::from_millis(1_900);
+/// Largest increase of a share at a time, in percent.
+const MAX_RAISE_PERCENT: f64 = 60.0;
+/// Share below which a task is better moved to another worker, in percent.
+const MOVE_BELOW_PERCENT: u8 = 15;
+/// How long a task's share may be that low before the task is moved.
 const MOVE_AFTER: time::Duration = time::Duration::from_millis(1_200);
 
-/// The tasks that fill a worker, at the shares that they are to have.
+/// The best-effort tasks of a worker with their intended shares.
 type Shares = collections::BTreeMap<spec::TaskId, worker::Filling>;
 
 impl holding::Holding {
-    /// Returns the strain that the own load of a job's tasks causes, the least of what they tell.
+    /// Returns the strain that a job's own load causes its tasks: the lowest recently reported one.
     pub(super) fn own_load(&self, job: spec::JobId, now: time::Duration) -> Option<f64> {
         let first = spec::TaskId { job, round: 0, step: 0, index: 0 };
         let strains = self.strains.range(first..).take_while(|(task, _)| task.job == job);
-        let fresh = strains.filter(|(_, strain)| now.saturating_sub(strain.at) <= FRESH);
+        let fresh = strains.filter(|(_, strain)| now.saturating_sub(strain.at) <= MAX_TAIL_AGE);
         fresh.map(|(_, strain)| strain.strain).min_by(f64::total_cmp)
     }
 
-    /// Learns from the tails of a worker and sets the shares of what fills it.
+    /// Learns from a worker's reported tail latencies and sets the shares of its best-effort tasks.
     pub(super) fn update_shares(
         &mut self,
         worker: &id::Incarnation,
@@ -61,9 +65,10 @@
         now: time::Duration,
     ) {
         self.send_shares(worker, now);
-        let tails: Vec<(spec::TaskId, worker::Serving, f64)> = self.read_tails(worker, lists, now);
+        let tails: Vec<(spec::TaskId, worker::Serving, f64)> =
+            self.read_strains(worker, lists, now);
         let uses = self.read_uses(worker, lists);
-        let margin = if self.fills_wait { 0.0 } else { MARGIN };
+        let margin = if self.best_effort_waits { 0.0 } else { STRAIN_MARGIN };
         let mut over = 0.0_f64;
         let mut excess = Vec::new();
         for (task, serving, strain) in tails {
@@ -74,7 +79,7 @@
             excess.push((serving.image, strain - limit));
         }
         if excess.is_empty() {
-            excess = self.unstrained(worker, margin, now);
+            excess = self.unused_excess(worker, margin, now);
         }
         let Some(view) = self.views.get_mut(worker) else {
             return;
@@ -86,22 +91,22 @@
         let Some(view) = self.views.get(worker) else {
             return;
         };
-        if view.filling.is_empty() || now.saturating_sub(view.paced) < SETTLE {
+        if view.filling.is_empty() || now.saturating_sub(view.paced) < SETTLE_TIME {
             return;
         }
-        let shares = if self.missed_long(worker, now) {
-            standing_still(view)
+        let shares = if self.misses_too_long(worker, now) {
+            zero_shares(view)
         } else if over > 0.0 {
-            self.held_back(view, &excess)
+            self.lowered_shares(view, &excess)
         } else {
-            self.let_go(view, &excess)
+            self.raised_shares(view, &excess)
         };
         self.set_shares(worker, &shares, now);
-        self.move_held(worker, now);
+        self.move_throttled(worker, now);
     }
 
-    /// Sets the shares of tasks anew that an earlier holder ordered, by the processors that they use: what
-    /// that holder held back stays so, whatever of its orders got through.
+    /// Sets the shares of tasks that an earlier holder started, based on their CPU use: what it
+    /// throttled stays throttled, whichever of its orders arrived.
     pub(super) fn adopt_shares(
         &mut self,
         worker: &id::Incarnation,
@@ -118,16 +123,20 @@
                 continue;
             };
             let used = row.load * 100 / filling.cpu_milli.max(1);
-            let percent = if used >= UNPACED_USE { 100 } else { u8::try_from(used).unwrap_or(100) };
-            // An unknown share differs from any, so that the order is given.
+            let percent = if used >= UNTHROTTLED_USE_PERCENT {
+                100
+            } else {
+                u8::try_from(used).unwrap_or(100)
+            };
+            // An impossible share differs from any other, so that the new one is ordered.
             filling.percent = u8::MAX;
             shares.insert(row.task, worker::Filling { percent, ..*filling });
         }
         self.set_shares(worker, &shares, now);
     }
 
-    /// Reads the tails of serving tasks as strains.
-    fn read_tails(
+    /// Converts the reported tail latencies of serving tasks to strains.
+    fn read_strains(
         &mut self,
         worker: &id::Incarnation,
         lists: &order::Lists,
@@ -151,9 +160,10 @@
         tails
     }
 
-    /// Returns how far the serving tasks of a worker are below their limits where nobody uses them: they told
-    /// tails once, and none of late. Nothing where one of them may be used.
-    fn unstrained(
+    /// Returns how far serving tasks are below their limits if all of them reported tail latencies
+    /// before, but none recently, because they get no requests. The list is empty if one of them
+    /// may get requests.
+    fn unused_excess(
         &self,
         worker: &id::Incarnation,
         margin: f64,
@@ -161,15 +171,19 @@
     ) -> Vec<(interference::Image, f64)> {
         let serving = self.views.get(worker).into_iter().flat_map(|view| &view.serving);
         let below = serving.map(|(task, serving)| {
-            let told = self.strains.get(task)?;
+            let reported = self.strains.get(task)?;
             let limit = self.learned.interference.limit(serving.image, serving.target_ms) - margin;
-            (now.saturating_sub(told.at) > FRESH).then_some((serving.image, -limit))
+            (now.saturating_sub(reported.at) > MAX_TAIL_AGE).then_some((serving.image, -limit))
         });
         below.collect::<Option<_>>().unwrap_or_default()
     }
 
-    /// Reads which part of a worker's processors each filling image uses.
-    fn read_uses(&self, worker: &id::Incarnation, lists: &order::Lists) -> Vec<interference::Use> {
+    /// Returns the fraction of a worker's CPU that each best-effort image uses.
+    fn read_uses(
+        &self,
+        worker: &id::Incarnation,
+        lists: &order::Lists,
+    ) -> Vec<interference::CpuUse> {
         let Some(view) = self.views.get(worker) else {
             return Vec::new();
         };
@@ -180,36 +194,37 @@
             }
         }
         let uses = parts.into_iter().filter(|(_, part)| *part > 0.0);
-        uses.map(|(image, part)| interference::Use { image, part }).collect()
+        uses.map(|(image, part)| interference::CpuUse { image, part }).collect()
     }
 
-    /// Returns whether a task of a worker has missed its target for too long.
-    pub(super) fn missed_long(&self, worker: &id::Incarnation, now: time::Duration) -> bool {
+    /// Returns whether a serving task of a worker has missed its target for too long.
+    pub(super) fn misses_too_long(&self, worker: &id::Incarnation, now: time::Duration) -> bool {
         let Some(view) = self.views.get(worker) else {
             return false;
         };
         let mut missed = self.misses(view, now);
-        missed.any(|missed| now.saturating_sub(missed.since) >= PATIENCE)
+        missed.any(|missed| now.saturating_sub(missed.since) >= MAX_MISS_DURATION)
     }
 
-    /// Returns the misses of the tasks that serve on a worker, but for those that nobody tells of any more.
+    /// Returns the current misses of a worker's serving tasks, without those not reported recently.
     pub(super) fn misses<'a>(
         &'a self,
         view: &'a worker::View,
         now: time::Duration,
     ) -> impl Iterator<Item = worker::Missed> + use<'a> {
         let strains = view.serving.keys().filter_map(|task| self.strains.get(task));
-        let told = strains.filter(move |strain| now.saturating_sub(strain.at) <= MISS_TOLD);
-        told.filter_map(|strain| strain.missed)
+        let reported = strains.filter(move |strain| now.saturating_sub(strain.at) <= MAX_MISS_AGE);
+        reported.filter_map(|strain| strain.missed)
     }
 
-    /// Returns shares that hold back what does most harm to the tasks that miss their target, until it is undone.
-    fn held_back(&self, view: &worker::View, excess: &[(interference::Image, f64)]) -> Shares {
+    /// Returns shares that throttle the tasks with the most interference until the excess strain is
+    /// gone.
+    fn lowered_shares(&self, view: &worker::View, excess: &[(interference::Image, f64)]) -> Shares {
         let capacity = view.member.capacity.cpu_milli.max(1) as f64;
         let mut shares = view.filling.clone();
         for (serving, over) in excess.iter().filter(|(_, over)| *over > 0.0) {
-            let mut left = *over + SLACK / 2.0;
-            let mut by: Vec<(f64, spec::TaskId)> = shares
+            let mut left = *over + RAISE_SLACK / 2.0;
+            let mut causes: Vec<(f64, spec::TaskId)> = shares
                 .iter()
                 .map(|(task, filling)| {
                     let part =
@@ -217,49 +232,52 @@
                     (self.learned.interference.slope(*serving, filling.image) * part, *task)
                 })
                 .collect();
-            by.sort_by(|a, b| b.0.total_cmp(&a.0));
-            for (strain, task) in by {
-                let worth_it = left > 0.0 && strain > LEAST_STRAIN;
+            causes.sort_by(|a, b| b.0.total_cmp(&a.0));
+            for (strain, task) in causes {
+                let worth_it = left > 0.0 && strain > MIN_STRAIN;
                 let Some(filling) = shares.get_mut(&task).filter(|_| worth_it) else {
                     continue;
                 };
-                let kept = (1.0 - left / strain).max(0.0);
-                let next = (f64::from(filling.percent) * kept).floor();
-                left -= strain * (1.0 - kept);
-                filling.percent = if next < LEAST_CHANGE { 0 } else { next as u8 };
+                let remaining = (1.0 - left / strain).max(0.0);
+                let next = (f64::from(filling.percent) * remaining).floor();
+                left -= strain * (1.0 - remaining);
+                filling.percent = if next < MIN_CHANGE_PERCENT { 0 } else { next as u8 };
             }
         }
         shares
     }
 
-    /// Returns shares at which work that is held back goes faster, as far as all targets are kept with ease.
-    fn let_go(&self, view: &worker::View, excess: &[(interference::Image, f64)]) -> Shares {
-        let mut room: Vec<(interference::Image, f64)> =
-            excess.iter().map(|(image, over)| (*image, -over - SLACK)).collect();
+    /// Returns larger shares for throttled tasks, as far as all targets stay met with a margin of
+    /// `RAISE_SLACK`.
+    fn raised_shares(&self, view: &worker::View, excess: &[(interference::Image, f64)]) -> Shares {
+        let mut headroom: Vec<(interference::Image, f64)> =
+            excess.iter().map(|(image, over)| (*image, -over - RAISE_SLACK)).collect();
         let mut shares = view.filling.clone();
-        // Nothing speaks for a share that was not ordered yet.
-        let held = |filling: &&mut worker::Filling| filling.percent < 100 && !filling.share_unsent;
-        for filling in shares.values_mut().filter(held) {
-            let whole = view.part(filling.cpu_milli);
-            let part = |(image, room): &(interference::Image, f64)| {
-                let harm = self.learned.interference.slope(*image, filling.image) * whole;
-                if harm > 0.0 { (*room).max(0.0) / harm } else { 1.0 }
+        // A share that is not sent yet has had no effect, so nothing justifies a larger one.
+        let is_throttled =
+            |filling: &&mut worker::Filling| filling.percent < 100 && !filling.share_unsent;
+        for filling in shares.values_mut().filter(is_throttled) {
+            let cpu_fraction = view.part(filling.cpu_milli);
+            let part = |(image, headroom): &(interference::Image, f64)| {
+                let strain = self.learned.interference.slope(*image, filling.image) * cpu_fraction;
+                if strain > 0.0 { (*headroom).max(0.0) / strain } else { 1.0 }
             };
-            let more = room.iter().map(part).fold(1.0, f64::min) * 1e2;
-            let more = more.min(MOST_GROWTH).min(f64::from(100 - filling.percent));
-            if more < LEAST_CHANGE {
+            let more = headroom.iter().map(part).fold(1.0, f64::min) * 1e2;
+            let more = more.min(MAX_RAISE_PERCENT).min(f64::from(100 - filling.percent));
+            if more < MIN_CHANGE_PERCENT {
                 continue;
             }
-            for (image, room) in &mut room {
-                *room -=
-                    self.learned.interference.slope(*image, filling.image) * whole * more / 1e2;
+            for (image, headroom) in &mut headroom {
+                *headroom -=
+                    self.learned.interference.slope(*image, filling.image) * cpu_fraction * more
+                        / 1e2;
             }
             filling.percent += more as u8;
         }
         shares
     }
 
-    /// Orders the shares that differ from those in force.
+    /// Sets and orders the shares that differ from the current ones.
     fn set_shares(&mut self, worker: &id::Incarnation, shares: &Shares, now: time::Duration) {
         let Some(view) = self.views.get_mut(worker) else {
             return;
@@ -274,8 +292,11 @@
             tracing::info!(%task, %worker, from = filling.percent, to = share.percent, "paced");
             filling.percent = share.percent;
             filling.paced |= share.percent < 100;
-            filling.low_since =
-                if share.percent < MOVE_BELOW { filling.low_since.or(Some(now)) } else { None };
+            filling.low_since = if share.percent < MOVE_BELOW_PERCENT {
+                filling.low_since.or(Some(now))
+            } else {
+                None
+            };
             filling.started_throttled &= share.percent < 100;
             filling.share_unsent = true;
             view.paced = now;
@@ -283,8 +304,8 @@
         self.send_shares(worker, now);
     }
 
-    /// Orders the shares that differ from those in force, of tasks that are there: an order for a task that is not
-    /// there yet would be refused.
+    /// Orders all unsent shares of tasks that run. An order for a task whose start is not confirmed
+    /// would be refused.
     pub(super) fn send_shares(&mut self, worker: &id::Incarnation, now: time::Duration) {
         let epoch = self.fence(worker);
         let Some(view) = self.views.get_mut(worker) else {
@@ -292,9 +313,9 @@
         };
         for (task, filling) in view.filling.iter_mut().filter(|(_, filling)| filling.share_unsent) {
             let placed = self.placed.get(task);
-            let there = placed
+            let confirmed = placed
                 .filter(|placed| matches!(placed.start_state, work::StartState::Confirmed(_)));
-            let Some(placed) = there else {
+            let Some(placed) = confirmed else {
                 continue;
             };
             filling.share_unsent = false;
@@ -305,18 +326,19 @@
         }
     }
 
-    /// Stops tasks that are held back for long and keep their progress, so that they go elsewhere.
-    fn move_held(&mut self, worker: &id::Incarnation, now: time::Duration) {
+    /// Stops tasks that have long been throttled and save checkpoints, so that they resume on
+    /// another worker.
+    fn move_throttled(&mut self, worker: &id::Incarnation, now: time::Duration) {
         let Some(view) = self.views.get(worker) else {
             return;
         };
-        let held = view.filling.iter().filter(|(_, filling)| {
-            // Elsewhere a task in need would be held back alike.
+        let throttled = view.filling.iter().filter(|(_, filling)| {
+            // A starving task would be throttled on another worker as well.
             let moves = |since| now.saturating_sub(since) >= MOVE_AFTER;
             !filling.started_throttled && filling.low_since.is_some_and(moves)
         });
-        let held: Vec<spec::TaskId> = held.map(|(task, _)| *task).collect();
-        for task in held {
+        let throttled: Vec<spec::TaskId> = throttled.map(|(task, _)| *task).collect();
+        for task in throttled {
             let entry = self.jobs.get(&task.job);
             let step = entry.and_then(|entry| entry.job.step(task.step));
             if step.is_some_and(|step| step.checkpoint) {
@@ -326,8 +348,8 @@
     }
 }
 
-/// Returns shares at which everything that fills a worker stands still.
-fn standing_still(view: &worker::View) -> Shares {
+/// Returns a share of zero for all best-effort tasks of a worker.
+fn zero_shares(view: &worker::View) -> Shares {
     let mut shares = view.filling.clone();
     shares.values_mut().for_each(|filling| filling.percent = 0);
     shares
--- a/crates/wharflane/src/job/pass.rs
+++ b/crates/wharflane/src/job/pass.rs
@@ -1,8 +1,10 @@
-//! What one pass of placement has found out, so that its cost does not grow with what waits.
+//! What one placement pass has found out, which keeps its cost independent of the number of waiting
+//! tasks.
 //!
-//! A kind of task that found no worker finds none later in the same pass, since a pass only takes room
-//! away; nor does a larger task of that kind. Behind 3,000 to 4,000 waiting tasks at 490 workers some 230
-//! searches a pass were counted, by the figures `sought` and `commits` of the log.
+//! A pass only takes capacity away. So once a kind of task finds no worker, no task of that kind
+//! and at least that size finds one later in the same pass. Some 230 searches per pass were counted
+//! with 3,000 to 4,000 waiting tasks on 490 workers, by the figures `sought` and `commits` in the
+//! log.
 
 use std::collections;
 
@@ -12,50 +14,51 @@
 use crate::id;
 use crate::size;
 
-/// What decides which workers take a task, but for its size.
+/// What decides which workers can take a task, apart from its size.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Kind {
     /// The service whose workers run it.
     service: id::ServiceId,
-    /// The label that they need.
+    /// The label that the worker must have.
     label: Option<String>,
-    /// What it runs, where that decides: harm is learned by image.
-    fills: Option<interference::Image>,
+    /// The image of a best-effort task, since interference is learned by image; `None` for other
+    /// tasks.
+    best_effort: Option<interference::Image>,
 }
 
-/// What one pass has found out.
+/// The findings of a placement pass.
 #[derive(Debug, Default)]
 pub(super) struct Pass {
-    /// Kinds that found no worker, with the sizes that were tried.
-    hopeless: Vec<(Kind, size::Size)>,
-    /// Whether it was found out what serving tasks bear, which only tasks that fill ask for.
-    pub weighed: bool,
-    /// How many lines were written about tasks that wait.
-    pub told: usize,
-    /// The tasks that found no worker and are in need, the first of each group.
-    pub in_need: collections::BTreeMap<spec::TaskId, work::Ready>,
+    /// Kinds of tasks that found no worker, with their sizes.
+    unplaceable: Vec<(Kind, size::Size)>,
+    /// Whether the headroom of all workers was refreshed, which only best-effort tasks need.
+    pub headroom_refreshed: bool,
+    /// The number of lines logged about waiting tasks.
+    pub lines_logged: usize,
+    /// The starving tasks, at most the first of each group.
+    pub starving: collections::BTreeMap<spec::TaskId, work::Ready>,
 }
 
 impl Pass {
-    /// Returns whether a task can't find a worker in this pass any more.
-    pub fn is_hopeless(
+    /// Returns whether a task can't find a worker in the rest of this pass.
+    pub fn is_unplaceable(
         &self,
         service: &id::ServiceId,
         step: &spec::Step,
         image: interference::Image,
     ) -> bool {
-        let fills = step.fills.then_some(image);
-        self.hopeless.iter().any(|(kind, size)| {
+        let image = step.fills.then_some(image);
+        self.unplaceable.iter().any(|(kind, size)| {
             kind.service == *service
                 && kind.label == step.label
-                && kind.fills == fills
+                && kind.best_effort == image
                 && size.fits(&step.size)
         })
     }
 
-    /// Notes that a task found no worker. Bounds on a step's tasks by worker, and tickets, are its own, so
-    /// nothing follows from them for others.
-    pub fn note(
+    /// Records that a task found no worker. Steps with a limit per worker or with tickets have
+    /// obstacles of their own, from which nothing follows for other steps.
+    pub fn note_unplaceable(
         &mut self,
         service: &id::ServiceId,
         step: &spec::Step,
@@ -68,8 +71,8 @@
         let kind = Kind {
             service: service.clone(),
             label: step.label.clone(),
-            fills: step.fills.then_some(image),
+            best_effort: step.fills.then_some(image),
         };
-        self.hopeless.push((kind, step.size));
+        self.unplaceable.push((kind, step.size));
     }
 }
--- a/crates/wharflane/src/job/pending.rs
+++ b/crates/wharflane/src/job/pending.rs
@@ -1,4 +1,4 @@
-//! The commit under way, and what commits leave out after one was refused.
+//! The commit in flight, and the limits on later commits after the store refused one.
 
 use std::time;
 
@@ -7,42 +7,42 @@
 use crate::id;
 use crate::rows;
 
-/// The most jobs in one commit; the bound by rows and bytes is reached before.
+/// Maximum number of jobs in one commit; the limits on rows and bytes are reached earlier.
 pub(super) const MOST_JOBS: usize = 100;
 
-/// A transaction whose fate is open.
+/// A transaction whose outcome is unknown.
 #[derive(Debug)]
 pub(super) struct Pending {
-    /// Its number as it was sent last.
+    /// The number of its last transmission.
     pub number: u64,
-    /// The transaction, sent again unchanged where it must be.
+    /// The transaction; it may only be sent again unchanged.
     pub txn: rows::Txn,
     /// The lease that it writes.
     pub lease: kept::Lease,
-    /// When it was first sent, from which the lease counts.
+    /// When it was first sent, which is when the renewed lease begins.
     pub sent: time::Duration,
-    /// When it is to be sent again.
+    /// When to send it again; `None` while an answer is awaited.
     pub again: Option<time::Duration>,
     /// The jobs whose progress it writes.
     pub jobs: Vec<spec::JobId>,
-    /// Whether it writes what may be left out, such as what was learned.
+    /// Whether it contains optional writes, such as the learned state.
     pub extras: bool,
-    /// The ends that it makes last, by job and worker.
+    /// The ends that become final with it, by job and worker.
     pub ends: Vec<(spec::JobId, id::Incarnation, u64)>,
-    /// The starts that it makes last.
+    /// The starts that become final with it.
     pub starts: Vec<spec::TaskId>,
-    /// The ended jobs whose rows it removes, with the number of their rows.
+    /// The ended jobs whose progress rows it removes, with the number of these rows.
     pub removed: Vec<(spec::JobId, u32)>,
 }
 
-/// What commits leave out after one was refused.
+/// Limits on commits, tightened after one was refused.
 #[derive(Debug)]
 pub(super) struct CommitLimits {
-    /// The most jobs in one commit.
+    /// Maximum number of jobs in one commit.
     pub jobs: usize,
-    /// From when on commits may hold what can be left out.
+    /// When commits may contain optional writes again.
     pub extras_from: time::Duration,
-    /// From when on commits may hold counts of what waits.
+    /// When commits may contain counts of waiting jobs again.
     pub counts_from: time::Duration,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl CommitLimits {
-    /// Notes that a commit was taken.
+    /// Relaxes the limit on jobs after a successful commit.
     pub fn taken(&mut self) {
         self.jobs = (self.jobs * 2).min(MOST_JOBS);
     }
--- a/crates/wharflane/src/job/placement.rs
+++ b/crates/wharflane/src/job/placement.rs
@@ -1,4 +1,4 @@
-//! Seeks workers for the tasks whose turn has come, the first in line first.
+//! The placement pass: searches workers for waiting tasks in order of precedence.
 
 use std::collections;
 use std::ops;
@@ -19,69 +19,71 @@
 use super::work;
 use crate::id;
 
-/// How long a lasting task that was at work may be away until it goes first; the users allow 6 s, a
-/// start takes 50 ms.
-const LONG_AWAY: time::Duration = time::Duration::from_millis(3_000);
-/// One worker in so many may be kept for lasting tasks that come back; shorter work has the others.
-const KEPT_PART: usize = 12;
-/// The time between two tries while nothing has changed, since rests and paces end by time.
-const RETRY: time::Duration = time::Duration::from_millis(100);
+/// How long a long-running task may be without a worker until it takes precedence. The requirement
+/// allows 6 s, and a start takes 50 ms.
+const MAX_ABSENCE: time::Duration = time::Duration::from_millis(3_000);
+/// One worker in this many may be reserved for returning long-running tasks; the others stay
+/// available to batch tasks.
+const WORKERS_PER_RESERVED: usize = 12;
+/// Interval of passes while nothing changes, since quarantines and throttling end by time.
+const PASS_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 impl holding::Holding {
-    /// Seeks workers for the tasks whose turn has come.
+    /// Runs a placement pass if one is due.
     pub(super) fn place_ready(&mut self, now: time::Duration) {
-        let again = now.saturating_sub(self.placed_at) >= RETRY;
-        self.fills_wait &= !self.ready.is_empty();
+        let again = now.saturating_sub(self.placed_at) >= PASS_INTERVAL;
+        self.best_effort_waits &= !self.ready.is_empty();
         if self.pending.is_some() || self.ready.is_empty() || !(self.changed || again) {
             return;
         }
-        if now.saturating_sub(self.committed) < self.commit_gap() || !self.knows_closed(now) {
+        if now.saturating_sub(self.committed) < self.commit_gap() || !self.closed_halls_known(now) {
             return;
         }
         self.changed = false;
         self.placed_at = now;
-        run(self, now);
+        run_pass(self, now);
     }
 }
 
-/// The order among tasks of one priority.
+/// Precedence among tasks of one priority, highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Turn {
-    /// A lasting task that was at work and has been away for some time.
+enum Precedence {
+    /// A long-running task that has run before and has been without a worker for some time.
     Returning,
-    /// A task that ends: somebody waits for its end, and its room is soon free again.
-    Ending(outlook::Outlook),
-    /// A lasting task that is new, or was away for a moment only.
-    Lasting,
+    /// A batch task: someone waits for its end, and its capacity soon becomes free again.
+    Batch(outlook::Outlook),
+    /// A long-running task that is new or has been without a worker only briefly.
+    LongRunning,
 }
 
-/// Tasks of one step that wait together.
+/// Waiting tasks of one step and round.
 #[derive(Clone, Copy, Debug)]
 struct Group {
-    /// The first of them.
+    /// The first of the tasks.
     first: work::Ready,
-    /// Whether they are lasting ones that were at work and have been away for long.
+    /// Whether they are long-running tasks that have run before and have been without a worker for
+    /// some time.
     returning: bool,
 }
 
 /// Stages a start for each task that finds a worker.
-fn run(holding: &mut holding::Holding, now: time::Duration) {
-    holding.kept_for.clear();
-    holding.fills_wait = false;
+fn run_pass(holding: &mut holding::Holding, now: time::Duration) {
+    holding.reserved_workers.clear();
+    holding.best_effort_waits = false;
     let mut pass = pass::Pass::default();
-    for group in in_turn(holding, now) {
+    for group in ordered_groups(holding, now) {
         if holding.link.starts(holding.staged.len()) == 0 {
-            // What could start next follows as soon as the link takes it.
+            // The remaining tasks can start once the link has capacity again.
             holding.changed = true;
             break;
         }
         place_group(holding, &mut pass, group, now);
     }
-    starvation::relieve(holding, &pass, now);
-    holding.forget_told();
+    starvation::start_one(holding, &pass, now);
+    holding.forget_logged_waits();
 }
 
-/// Seeks workers for the tasks of one group, until one finds none.
+/// Searches workers for the tasks of one group until one finds none.
 fn place_group(
     holding: &mut holding::Holding,
     pass: &mut pass::Pass,
@@ -92,19 +94,19 @@
         return;
     }
     let Some(job) = active_job(holding, group.first.task.job) else {
-        return forget(holding, group.first.task);
+        return remove_waiting(holding, group.first.task);
     };
     let Some(step) = job.step(group.first.task.step) else {
-        return forget(holding, group.first.task);
+        return remove_waiting(holding, group.first.task);
     };
-    if step.fills && !std::mem::replace(&mut pass.weighed, true) {
+    if step.fills && !std::mem::replace(&mut pass.headroom_refreshed, true) {
         holding.refresh_headroom(now);
     }
     let mut ranking = None;
     let mut next = Some(group.first);
     while let Some(ready) = next {
         if holding.defers_start(&ready, step, now) {
-            next = next_of(holding, &group, ready.task, now);
+            next = next_in_group(holding, &group, ready.task, now);
             continue;
         }
         let placed = if step.gang {
@@ -115,111 +117,118 @@
             place_one(holding, pass, &mut ranking, &ready, (&job, step), now)
         };
         if !placed {
-            holding.fills_wait |= step.fills;
-            holding.tell_wait(pass, &ready, step, now);
-            starvation::note(holding, pass, &ready, now);
-            ask_workers(holding, ready.task, now);
+            holding.best_effort_waits |= step.fills;
+            holding.log_wait(pass, &ready, step, now);
+            starvation::note_if_starving(holding, pass, &ready, now);
+            request_tickets(holding, ready.task, now);
         }
-        let full = holding.link.starts(holding.staged.len()) == 0;
-        if !group.returning && !placed || step.gang || full {
+        let link_full = holding.link.starts(holding.staged.len()) == 0;
+        if !group.returning && !placed || step.gang || link_full {
             return;
         }
-        next = next_of(holding, &group, ready.task, now);
+        next = next_in_group(holding, &group, ready.task, now);
     }
 }
 
-/// Returns the next task of a group after one of them.
-fn next_of(
+/// Returns the task of a group that follows a given one.
+fn next_in_group(
     holding: &holding::Holding,
     group: &Group,
     after: spec::TaskId,
     now: time::Duration,
 ) -> Option<work::Ready> {
-    let end = *group::kin(after).end();
+    let end = *group::siblings(after).end();
     let later = holding.ready.range((ops::Bound::Excluded(after), ops::Bound::Included(end)));
     let mut later = later.map(|(_, ready)| *ready);
-    later.find(|ready| returns(ready, now) == group.returning)
+    later.find(|ready| takes_precedence(ready, now) == group.returning)
 }
 
-/// Forgets tasks that nobody wants any more.
-fn forget(holding: &mut holding::Holding, task: spec::TaskId) {
-    let kin: Vec<spec::TaskId> =
-        holding.ready.range(group::kin(task)).map(|(task, _)| *task).collect();
-    for task in kin {
+/// Removes the waiting tasks of a group whose job has ended.
+fn remove_waiting(holding: &mut holding::Holding, task: spec::TaskId) {
+    let siblings: Vec<spec::TaskId> =
+        holding.ready.range(group::siblings(task)).map(|(task, _)| *task).collect();
+    for task in siblings {
         holding.ready.remove(&task);
     }
 }
 
-/// Returns the groups of tasks whose turn has come, the first in line first.
-fn in_turn(holding: &holding::Holding, now: time::Duration) -> Vec<Group> {
+/// Returns the groups of waiting tasks in order of precedence.
+fn ordered_groups(holding: &holding::Holding, now: time::Duration) -> Vec<Group> {
     let mut groups = groups(holding, now);
     let outlooks = outlooks(holding, &groups);
-    let turn = |group: &Group| {
+    let precedence = |group: &Group| {
         let task = group.first.task;
         let outlook = outlooks.get(&(task.job, task.round)).copied();
         match outlook.filter(|_| !group.first.lasting) {
-            Some(outlook) => Turn::Ending(outlook),
-            None if group.returning => Turn::Returning,
-            None => Turn::Lasting,
+            Some(outlook) => Precedence::Batch(outlook),
+            None if group.returning => Precedence::Returning,
+            None => Precedence::LongRunning,
         }
     };
     groups.sort_by_cached_key(|group| {
-        (group.first.priority, turn(group), group.first.accepted_version, group.first.task)
+        (group.first.priority, precedence(group), group.first.accepted_version, group.first.task)
     });
     groups
 }
 
-/// Returns the groups of tasks whose turn has come, by name. Tasks that end are alike in all that counts here, so that
-/// the first of a group speaks for it; of lasting ones some may have been away for longer than others.
+/// Returns the groups of waiting tasks, by ID. Batch tasks of a group are alike in all that matters
+/// here, so the first represents them all. Long-running ones are split by how long they have been
+/// without a worker.
 fn groups(holding: &holding::Holding, now: time::Duration) -> Vec<Group> {
     let mut groups = Vec::new();
     let mut next = holding.ready.first_key_value();
     while let Some((task, first)) = next {
-        let kin = group::kin(*task);
+        let siblings = group::siblings(*task);
         if first.lasting {
             let of = |returning| {
-                let mut kin = holding.ready.range(kin.clone()).map(|(_, ready)| *ready);
-                kin.find(|ready| returns(ready, now) == returning)
+                let mut siblings = holding.ready.range(siblings.clone()).map(|(_, ready)| *ready);
+                siblings
+                    .find(|ready| takes_precedence(ready, now) == returning)
                     .map(|first| Group { first, returning })
             };
             groups.extend([false, true].into_iter().filter_map(of));
         } else {
             groups.push(Group { first: *first, returning: false });
         }
-        let after = (ops::Bound::Excluded(*kin.end()), ops::Bound::Unbounded);
+        let after = (ops::Bound::Excluded(*siblings.end()), ops::Bound::Unbounded);
         next = holding.ready.range(after).next();
     }
     groups
 }
 
-/// Returns whether a lasting task has been away for so long that it goes first.
-fn returns(ready: &work::Ready, now: time::Duration) -> bool {
-    ready.has_run && now.saturating_sub(ready.since) >= LONG_AWAY
+/// Returns whether a long-running task has been without a worker for so long that it takes
+/// precedence.
+fn takes_precedence(ready: &work::Ready, now: time::Duration) -> bool {
+    ready.has_run && now.saturating_sub(ready.since) >= MAX_ABSENCE
 }
 
-/// Asks for workers of a step whose queue wants advice, for all of its tasks that wait.
-fn ask_workers(holding: &mut holding::Holding, task: spec::TaskId, now: time::Duration) {
+/// Requests tickets for the waiting tasks of a step if its queue needs them.
+fn request_tickets(holding: &mut holding::Holding, task: spec::TaskId, now: time::Duration) {
     let entry = holding.jobs.get(&task.job);
-    if entry.is_some_and(|entry| holding.terms_of_advice(&entry.job).is_some()) {
-        let wanted = holding.ready.range(group::kin(task)).count();
-        holding.ask(task, wanted, now);
+    if entry.is_some_and(|entry| holding.advice_timing(&entry.job).is_some()) {
+        let wanted = holding.ready.range(group::siblings(task)).count();
+        holding.request_tickets(task, wanted, now);
     }
 }
 
-/// Keeps what is free on one worker for a lasting task, or shorter work would take every piece of it.
+/// Reserves the free capacity of one worker for a long-running task, since batch tasks would
+/// otherwise take every piece of it.
 ///
-/// One where enough becomes free by tasks that end goes first. Without that the rooms kept were the ones beside lasting
-/// tasks, just too small for good: after two racks and a quarter of 490 workers were lost, tasks that came back waited for
-/// 17 s, longer than the 6 s allowed. Where lasting tasks have nearly everything there is no such worker, and the greatest
-/// room grows as they are cancelled: without any kept, one waited for 21 s on 58 workers of which they had 94 %.
-fn keep_room(
+/// A worker where enough capacity becomes free when batch tasks end is preferred. Otherwise the
+/// worker with the most free CPU might be reserved, whose capacity beside long-running tasks stays
+/// just too small: after the loss of two racks and a quarter of 490 workers, returning tasks waited
+/// for 17 s, where 6 s are allowed. If long-running tasks hold nearly everything, there is no such
+/// worker, and the largest free capacity grows as they are cancelled: without any reservation, a
+/// task waited for 21 s on 58 workers of which they held 94 %.
+fn reserve_capacity(
     holding: &mut holding::Holding,
     task: spec::TaskId,
     step: &spec::Step,
     now: time::Duration,
 ) {
-    let most = (holding.views.len() / KEPT_PART).max(1);
-    let entry = holding.jobs.get(&task.job).filter(|_| holding.kept_for.len() < most);
+    let max_reserved = (holding.views.len() / WORKERS_PER_RESERVED).max(1);
+    let entry =
+        holding.jobs.get(&task.job).filter(|_| holding.reserved_workers.len() < max_reserved);
     let Some(entry) = entry else {
         return;
     };
@@ -227,25 +236,25 @@
     let best = holding
         .views
         .values()
-        .filter(|view| !holding.kept_for.contains(&view.member.incarnation))
+        .filter(|view| !holding.reserved_workers.contains(&view.member.incarnation))
         .filter(|view| {
             obstacle::plain(view, service, task, step, view.takes(task, now))
                 == Some(obstacle::Obstacle::Room)
         })
         .max_by_key(|view| (step.reserved().fits(&view.free_in_time()), view.free().cpu_milli));
     if let Some(worker) = best.map(|view| view.member.incarnation.clone()) {
-        holding.kept_for.insert(worker);
+        holding.reserved_workers.insert(worker);
     }
 }
 
-/// Returns how the rounds of jobs stand that have tasks to place.
+/// Returns the outlooks of all rounds with waiting batch tasks.
 fn outlooks(
     holding: &holding::Holding,
     groups: &[Group],
 ) -> collections::BTreeMap<(spec::JobId, u32), outlook::Outlook> {
     let mut outlooks = collections::BTreeMap::new();
-    let ending = groups.iter().map(|group| group.first).filter(|ready| !ready.lasting);
-    for task in ending.map(|ready| ready.task) {
+    let batch = groups.iter().map(|group| group.first).filter(|ready| !ready.lasting);
+    for task in batch.map(|ready| ready.task) {
         if let Some(entry) = holding.jobs.get(&task.job) {
             outlooks
                 .entry((task.job, task.round))
@@ -255,25 +264,26 @@
     outlooks
 }
 
-/// Returns a job that is still wanted.
+/// Returns a job if it is active.
 fn active_job(holding: &holding::Holding, job: spec::JobId) -> Option<sync::Arc<spec::Job>> {
     let entry = holding.jobs.get(&job).filter(|entry| entry.active())?;
     Some(sync::Arc::clone(&entry.job))
 }
 
-/// Places a task that comes back; what is kept for one of them is there for all.
+/// Places a returning task. All returning tasks may use the capacity that is reserved for any of
+/// them.
 fn place_returning(
     holding: &mut holding::Holding,
     ready: &work::Ready,
     step: &spec::Step,
     now: time::Duration,
 ) -> bool {
-    let kept = std::mem::take(&mut holding.kept_for);
+    let reserved = std::mem::take(&mut holding.reserved_workers);
     let worker = choose::choose(holding, ready.task, step, None, now);
-    holding.kept_for.extend(kept);
+    holding.reserved_workers.extend(reserved);
     match &worker {
-        Some(worker) => assign::take(holding, ready, step, worker, now),
-        None => keep_room(holding, ready.task, step, now),
+        Some(worker) => assign::assign(holding, ready, step, worker, now),
+        None => reserve_capacity(holding, ready.task, step, now),
     }
     worker.is_some()
 }
@@ -288,24 +298,25 @@
     now: time::Duration,
 ) -> bool {
     let image = holding.learned.interference.image(step.image.as_deref());
-    if pass.is_hopeless(holding.service(job), step, image) {
+    if pass.is_unplaceable(holding.service(job), step, image) {
         return false;
     }
-    let Some(worker) = seek(holding, ranking, ready.task, step, now) else {
-        let ticket = holding.terms_of_advice(job).is_some();
-        pass.note(holding.service(job), step, image, ticket);
+    let Some(worker) = choose_worker(holding, ranking, ready.task, step, now) else {
+        let ticket = holding.advice_timing(job).is_some();
+        pass.note_unplaceable(holding.service(job), step, image, ticket);
         return false;
     };
-    assign::take(holding, ready, step, &worker, now);
+    assign::assign(holding, ready, step, &worker, now);
     if let Some(ranking) = ranking {
-        ranking.placed(holding, ready.task, step, &worker, now);
+        ranking.update(holding, ready.task, step, &worker, now);
     }
     true
 }
 
-/// Seeks a worker for one task of a group: in the group's ranking, unless it differs from its kin by a worker where
-/// it failed or that was lost under it, or draws its kin near.
-fn seek(
+/// Searches a worker for one task of a group by the group's ranking. A task is searched for alone
+/// if it differs from its siblings by a worker where it failed or that was lost under it, or if it
+/// attracts its siblings to its rack.
+fn choose_worker(
     holding: &mut holding::Holding,
     ranking: &mut Option<ranking::Ranking>,
     task: spec::TaskId,
@@ -320,5 +331,5 @@
     if ranking.is_none() {
         *ranking = ranking::Ranking::of(holding, task, step, now);
     }
-    ranking.as_mut()?.next(holding, task, step, now)
+    ranking.as_mut()?.pop_best(holding, task, step, now)
 }
--- a/crates/wharflane/src/job/progress.rs
+++ b/crates/wharflane/src/job/progress.rs
@@ -1,4 +1,4 @@
-//! How far a job has come: what its row says of each task.
+//! The progress of a job and its stored form, which is split into rows of bounded size.
 
 use std::collections;
 
@@ -8,11 +8,11 @@
 use super::spec;
 use crate::id;
 
-/// What is told of a job.
+/// The phase of a job, as reported to callers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// None of its tasks has begun.
+    /// No task has begun.
     #[default]
     Queued,
     /// A task has begun.
@@ -21,31 +21,31 @@
     Completed,
     /// A task failed too often.
     Failed,
-    /// Its caller cancelled it.
+    /// The caller cancelled the job.
     Cancelled,
 }
 
 impl Phase {
-    /// Returns whether nothing can change it any more.
+    /// Returns whether the phase is final.
     #[must_use]
     pub fn ended(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
     }
 }
 
-/// The place of a task within its job.
+/// The position of a task within its job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskPosition {
-    /// The round.
+    /// The round, counted from zero.
     pub round: u32,
-    /// The step.
+    /// The step, by its index in the job.
     pub step: u32,
-    /// The index within the step.
+    /// The index of the task within the step.
     pub index: u32,
 }
 
 impl TaskPosition {
-    /// Returns the name of the task that has this place in a job.
+    /// Returns the ID of the task at this position in a job.
     #[must_use]
     pub fn of(self, job: spec::JobId) -> spec::TaskId {
         spec::TaskId { job, round: self.round, step: self.step, index: self.index }
@@ -58,92 +58,93 @@
     }
 }
 
-/// The workers that were lost under a task, since it was last at work for long.
+/// The workers that were lost under a task since it last worked for long.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Losses {
-    /// Those that it may have crashed by its start, since it was not seen at work there for a while.
+    /// Workers that the task may have crashed by starting, since it was not seen working there for
+    /// a while.
     pub suspected: u32,
-    /// Those of them where nothing else there may have done it.
+    /// Those of `suspected` on which nothing else can have caused the crash.
     pub alone: u32,
-    /// Those where it was at work for a while, and so was everything else.
+    /// Workers on which the task and everything else had been working for a while.
     pub unexplained: u32,
 }
 
 impl Losses {
-    /// Returns whether none counts.
+    /// Returns whether all counts are zero.
     fn is_none(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// What is kept of a task's starts once a worker was lost under it.
+/// Statistics of a task's starts, recorded after the first loss of a worker under it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Starts {
-    /// The number of the last one whose worker was lost.
+    /// The last run whose worker was lost.
     #[serde(rename = "l")]
     pub lost: u32,
-    /// The number of the last one that was seen at work for a while.
+    /// The last run that was seen working for a while.
     #[serde(rename = "w")]
     pub at_work: u32,
-    /// How many since the third loss ended neither as done nor with their worker.
+    /// The number of runs since the third loss that neither completed nor ended with their worker.
     #[serde(rename = "o")]
     pub others: u32,
 }
 
 impl Starts {
-    /// Returns whether there is nothing to keep.
+    /// Returns whether there is nothing to store.
     fn is_none(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// One task that was started at least once.
+/// The state of a task that was started at least once.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Task {
-    /// The number of its last start.
+    /// The number of the last run.
     pub run: u32,
-    /// The runs that failed, each once, whichever holder heard of them in which order.
+    /// The runs that failed. As a set it counts each once, in whatever order holders learn of them.
     pub failed_runs: collections::BTreeSet<u32>,
-    /// Where it may run, by the worker's incarnation.
+    /// The worker incarnation on which it may run.
     pub worker: Option<id::Incarnation>,
-    /// Whether it came to its end.
+    /// Whether the task completed.
     pub done: bool,
-    /// What it saved last; empty where it saved nothing.
+    /// The last checkpoint; empty if there is none.
     pub checkpoint: String,
-    /// The run that saved it; zero where another holder heard of it.
+    /// The run that saved the checkpoint; zero if another holder received it.
     pub saved_run: u32,
-    /// The workers that were lost under it.
+    /// The workers that were lost under the task.
     pub losses: Losses,
-    /// Its starts since.
+    /// Statistics of its starts since the first loss.
     pub starts: Starts,
-    /// Where it failed last; lost with the holder.
+    /// The worker where it last failed; not stored, so the next holder does not know it.
     pub failed_on: Option<id::Incarnation>,
 }
 
 impl Task {
-    /// Returns how often it failed.
+    /// Returns the number of failed runs.
     #[must_use]
     pub fn failures(&self) -> u32 {
         u32::try_from(self.failed_runs.len()).unwrap_or(u32::MAX)
     }
 
-    /// Returns whether what is kept of the task shows that it was at work; a start alone does not.
+    /// Returns whether the stored state shows that the task worked; a start alone does not.
     pub(super) fn shows_work(&self) -> bool {
         self.done || !self.failed_runs.is_empty() || !self.checkpoint.is_empty()
     }
 
-    /// Returns whether nothing is known of it but its last start.
+    /// Returns whether only the last start is known of the task.
     fn has_only_started(&self) -> bool {
         self.failed_runs.is_empty() && self.checkpoint.is_empty() && self.losses.is_none()
     }
 
-    /// Notes what a run saved, unless a later run saved something; returns whether that is news. Nothing, and a
-    /// text too long to be kept, leave it as it was.
+    /// Stores the checkpoint of a run unless it is empty, too long, or a later run saved one;
+    /// returns whether the checkpoint changed.
     pub(super) fn save(&mut self, run: u32, checkpoint: &str) -> bool {
         if checkpoint.len() > MAX_CHECKPOINT_BYTES {
             tracing::warn!(
                 bytes = checkpoint.len(),
-                "checkpoint too long, work since the last is lost"
+                "checkpoint is too long; keeping the previous one"
             );
             return false;
         }
@@ -151,12 +152,12 @@
             return false;
         }
         self.saved_run = run;
-        let news = self.checkpoint != checkpoint;
+        let changed = self.checkpoint != checkpoint;
         checkpoint.clone_into(&mut self.checkpoint);
-        news
+        changed
     }
 
-    /// Notes how a run ended, whichever run is the last by now; returns whether that is news.
+    /// Records the end of a run, which need not be the last one; returns whether anything changed.
     pub(super) fn note_end(&mut self, run: u32, kind: order::EndKind) -> bool {
         match kind {
             order::EndKind::Done => !std::mem::replace(&mut self.done, true),
@@ -166,79 +167,80 @@
     }
 }
 
-/// How far a job has come.
+/// The progress of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// What is told of the job.
+    /// The phase of the job.
     pub phase: Phase,
     /// The tasks that were started at least once.
     pub tasks: collections::BTreeMap<TaskPosition, Task>,
 }
 
-/// The most tasks in one row of progress. A task takes 480 bytes at most, with the longest name of a
-/// worker (200 bytes) and the longest checkpoint that is kept, and a row of the store 48 KiB.
-const ROW_TASKS: u64 = 100;
-/// The most rows of one job: as many as its tasks may fill.
-pub(super) const MOST_ROWS: u32 = (spec::MAX_TASKS / ROW_TASKS) as u32;
-/// The longest checkpoint that is kept, in bytes; workers' own are texts of 16.
+/// Maximum number of tasks in one row of progress. A task takes up to 480 bytes, with the longest
+/// worker name (200 bytes) and the longest checkpoint, and a row of the store holds 48 KiB.
+const TASKS_PER_ROW: u64 = 100;
+/// Maximum number of progress rows of one job, from the maximum number of tasks.
+pub(super) const MOST_ROWS: u32 = (spec::MAX_TASKS / TASKS_PER_ROW) as u32;
+/// Maximum length of a checkpoint, in bytes; those of the platform's workers have 16.
 const MAX_CHECKPOINT_BYTES: usize = 160;
 
-/// One row of a job's progress. Rows are written at each start and end of their tasks, so most tasks take few bytes:
-/// none beside their neighbours once they are done, 27 while they run. A job of 78 tasks was written some 30 times
-/// with 46 bytes a task, 1.8 KB for each of its runs.
+/// The stored form of a progress row. A row is written at each start and end of one of its tasks,
+/// so the format is compact: 27 bytes for a running task, and none for a done one beside a done
+/// neighbour. At 46 bytes per task, a job of 78 tasks was written some 30 times, which came to 1.8
+/// KB for each of its runs.
 #[derive(Default, Serialize, Deserialize)]
-struct Kept {
-    /// What is told of the job; counts in the first row.
+struct StoredRow {
+    /// The phase of the job; only the one in the first row counts.
     phase: Phase,
-    /// Tasks that are done and run nowhere: round, step, the first index and the last.
+    /// Done tasks without a worker, as ranges: round, step, first index, last index.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     done: Vec<(u32, u32, u32, u32)>,
-    /// Tasks of which no more is known than their last start: round, step, index, run and worker.
+    /// Tasks of which only the last start is known: round, step, index, run and worker.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     on: Vec<(u32, u32, u32, u32, id::Incarnation)>,
-    /// The other tasks, the rarer fields left out where they are empty.
+    /// All other tasks; their empty fields are omitted.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    tasks: Vec<KeptTask>,
+    tasks: Vec<StoredTask>,
 }
 
-/// One task in a row; the names are short because rows are written often.
+/// The stored form of one task, with short field names because rows are written often.
 #[derive(Serialize, Deserialize)]
-struct KeptTask {
+struct StoredTask {
     /// Round, step and index.
     at: (u32, u32, u32),
-    /// The number of the last start.
+    /// The number of the last run.
     run: u32,
     /// The runs that failed.
     #[serde(default, skip_serializing_if = "collections::BTreeSet::is_empty")]
     bad_runs: collections::BTreeSet<u32>,
-    /// The worker.
+    /// The worker incarnation on which it may run.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     on: Option<id::Incarnation>,
-    /// Whether it is done.
+    /// Whether the task is done.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     done: bool,
-    /// The checkpoint.
+    /// The last checkpoint; empty if there is none.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     saved: String,
-    /// The workers that were lost under it.
+    /// The workers that were lost under the task.
     #[serde(default, skip_serializing_if = "Losses::is_none")]
     lost: Losses,
-    /// Its starts since.
+    /// Statistics of its starts since the first loss.
     #[serde(default, rename = "st", skip_serializing_if = "Starts::is_none")]
     starts: Starts,
 }
 
-impl Kept {
-    /// Adds a task in the shortest form that says all that counts of it.
-    fn add(&mut self, place: TaskPosition, task: &Task) {
-        let TaskPosition { round, step, index } = place;
+impl StoredRow {
+    /// Adds a task in the shortest form that contains all relevant state.
+    fn add(&mut self, position: TaskPosition, task: &Task) {
+        let TaskPosition { round, step, index } = position;
         match (&task.worker, task.done) {
-            // Nothing starts it again, so that neither its runs nor what it saved count any more.
-            (None, true) => self.add_done(place),
+            // A done task never starts again, so its runs and its checkpoint no longer matter.
+            (None, true) => self.add_done(position),
             (Some(worker), false) if task.has_only_started() => {
                 self.on.push((round, step, index, task.run, worker.clone()));
             }
-            _ => self.tasks.push(KeptTask {
+            _ => self.tasks.push(StoredTask {
                 at: (round, step, index),
                 run: task.run,
                 bad_runs: task.failed_runs.clone(),
@@ -251,7 +253,7 @@
         }
     }
 
-    /// Adds a task that is done, to the range that ends before it if there is one.
+    /// Adds a done task, and extends the last range if it ends just before the task.
     fn add_done(&mut self, TaskPosition { round, step, index }: TaskPosition) {
         match self.done.last_mut() {
             Some(last) if (last.0, last.1, last.3 + 1) == (round, step, index) => last.3 = index,
@@ -262,12 +264,12 @@
     /// Returns all tasks of the row.
     fn into_tasks(self) -> impl Iterator<Item = (TaskPosition, Task)> {
         let done = self.done.into_iter().flat_map(|(round, step, first, last)| {
-            let indices = first..=last.min(first.saturating_add(ROW_TASKS as u32));
+            let indices = first..=last.min(first.saturating_add(TASKS_PER_ROW as u32));
             indices.map(move |index| {
                 (TaskPosition { round, step, index }, Task { done: true, ..Task::default() })
             })
         });
-        let on = self.on.into_iter().map(|(round, step, index, run, worker)| {
+        let started = self.on.into_iter().map(|(round, step, index, run, worker)| {
             let task = Task { run, worker: Some(worker), ..Task::default() };
             (TaskPosition { round, step, index }, task)
         });
@@ -285,44 +287,44 @@
             };
             (TaskPosition { round, step, index }, state)
         });
-        done.chain(on).chain(tasks)
+        done.chain(started).chain(tasks)
     }
 }
 
 impl Progress {
-    /// Returns the number of the row that holds a task.
+    /// Returns the number of the row that contains a task.
     #[must_use]
-    pub fn row_of(job: &spec::Job, place: TaskPosition) -> u32 {
-        let ordinal = job.ordinal(place.round, place.step, place.index);
-        u32::try_from(ordinal / ROW_TASKS).unwrap_or(u32::MAX)
+    pub fn row_of(job: &spec::Job, position: TaskPosition) -> u32 {
+        let ordinal = job.ordinal(position.round, position.step, position.index);
+        u32::try_from(ordinal / TASKS_PER_ROW).unwrap_or(u32::MAX)
     }
 
-    /// Returns the number of rows that a job's progress takes.
+    /// Returns the number of rows of a job's progress.
     #[must_use]
     pub fn rows(job: &spec::Job) -> u32 {
-        u32::try_from(job.task_count().div_ceil(ROW_TASKS)).unwrap_or(u32::MAX).max(1)
+        u32::try_from(job.task_count().div_ceil(TASKS_PER_ROW)).unwrap_or(u32::MAX).max(1)
     }
 
-    /// Writes one row, or nothing for one that has nothing to keep; tasks of an ended job are kept only
-    /// while they may still run.
+    /// Encodes one row, or returns `None` if it has nothing to store. Tasks of an ended job are
+    /// stored only while they may still run.
     ///
     /// # Errors
-    /// Returns the encoder's error.
+    /// Returns the error of the encoder.
     pub fn encode(&self, job: &spec::Job, row: u32) -> Result<Option<String>, serde_json::Error> {
-        let kept = |(place, task): &(&TaskPosition, &Task)| {
+        let is_stored = |(position, task): &(&TaskPosition, &Task)| {
             let open = !self.phase.ended() || task.worker.is_some();
-            open && Self::row_of(job, **place) == row
+            open && Self::row_of(job, **position) == row
         };
-        let mut row_kept = Kept { phase: self.phase, ..Kept::default() };
-        let mut tasks = self.tasks.iter().filter(kept).peekable();
+        let mut stored = StoredRow { phase: self.phase, ..StoredRow::default() };
+        let mut tasks = self.tasks.iter().filter(is_stored).peekable();
         if row > 0 && tasks.peek().is_none() {
             return Ok(None);
         }
-        tasks.for_each(|(place, task)| row_kept.add(*place, task));
-        serde_json::to_string(&row_kept).map(Some)
+        tasks.for_each(|(position, task)| stored.add(*position, task));
+        serde_json::to_string(&stored).map(Some)
     }
 
-    /// Adds what another row of the same job says of its tasks.
+    /// Adds the tasks of another row of the same job; row zero also sets the phase.
     pub fn add_row(&mut self, row: u32, other: Self) {
         if row == 0 {
             self.phase = other.phase;
@@ -330,14 +332,14 @@
         self.tasks.extend(other.tasks);
     }
 
-    /// Reads one row.
+    /// Decodes one row.
     ///
     /// # Errors
-    /// Returns the parser's error for a text that is no such row.
+    /// Returns the error of the parser if the text is not such a row.
     pub fn decode(text: &str) -> Result<Self, serde_json::Error> {
-        let kept: Kept = serde_json::from_str(text)?;
-        let phase = kept.phase;
-        Ok(Self { phase, tasks: kept.into_tasks().collect() })
+        let stored: StoredRow = serde_json::from_str(text)?;
+        let phase = stored.phase;
+        Ok(Self { phase, tasks: stored.into_tasks().collect() })
     }
 
     /// Returns whether all tasks of a step are done in a round.
@@ -349,7 +351,7 @@
         })
     }
 
-    /// Returns whether all tasks are done.
+    /// Returns whether all tasks of the job are done.
     #[must_use]
     pub fn all_done(&self, job: &spec::Job) -> bool {
         let done = self.tasks.values().filter(|task| task.done).count();
--- a/crates/wharflane/src/job/queue.rs
+++ b/crates/wharflane/src/job/queue.rs
@@ -1,44 +1,45 @@
-//! The queues that jobs are handed in to, as the operator configures them.
+//! The queues to which jobs are submitted, as configured by the operator.
 
 use std::collections;
 
 use super::tickets;
 use crate::id;
 
-/// One queue.
+/// The configuration of one queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Queue {
-    /// Its name.
+    /// The name of the queue.
     pub name: String,
-    /// The name of the host that callers address.
+    /// The host name that callers address.
     pub host: String,
-    /// The start of the paths that belong to it.
+    /// The prefix of the request paths that belong to the queue.
     pub prefix: String,
-    /// The service whose workers run its tasks.
+    /// The service whose workers run the queue's tasks.
     pub service: id::ServiceId,
-    /// Its priority; zero comes first.
+    /// The priority; zero is the highest.
     pub priority: u32,
-    /// How often a task may fail before its job has failed.
+    /// The number of failures of one task after which its job fails.
     pub max_attempts: u32,
-    /// The terms of the advice service, where it must be asked which workers may run a step.
+    /// The timing of the advice service; `None` if the queue needs no tickets.
     pub advice: Option<tickets::AdviceTiming>,
-    /// How many times its longest chain of work a job may take, in hundredths.
+    /// Allowed duration of a job relative to its critical path, in percent.
     pub stretch_percent: u64,
-    /// What a job may take beyond that, in milliseconds; zero where nothing is promised.
+    /// Additional allowed duration, in milliseconds; zero if the queue promises none.
     pub objective_ms: u64,
 }
 
-/// All queues of one revision.
+/// All queues of one configuration revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Queues {
-    /// The revision; zero before any was read.
+    /// The revision; zero before one was read.
     pub revision: u64,
     /// The queues by name.
     pub queues: collections::BTreeMap<String, Queue>,
 }
 
 impl Queues {
-    /// Returns the queue of a path and what follows its prefix; the longest prefix wins.
+    /// Returns the queue for a request and the rest of the path after its prefix. The longest
+    /// matching prefix wins.
     #[must_use]
     pub fn route<'a>(&self, host: &str, path: &'a str) -> Option<(&Queue, &'a str)> {
         let host = host.split(':').next().unwrap_or(host);
--- a/crates/wharflane/src/job/ranking.rs
+++ b/crates/wharflane/src/job/ranking.rs
@@ -1,8 +1,9 @@
-//! All workers that the tasks of a group may go to, the best first.
+//! Ranks the workers for the tasks of a group, the best first.
 //!
-//! Tasks of one group are alike, and a start changes what speaks against one worker alone. So the workers are weighed
-//! once for a group and one of them anew after each start, where each task would weigh all of them: for 39 tasks at
-//! 890 workers 929 times instead of 34,710. The choices are the same to the letter.
+//! Tasks of a group are alike, and a start changes the cost of one worker only. So all workers are
+//! evaluated once per group and one of them again after each start, instead of all for each task:
+//! for 39 tasks on 890 workers 929 evaluations instead of 34,710. The chosen workers are exactly
+//! the same.
 
 use std::cmp;
 use std::collections;
@@ -14,47 +15,47 @@
 use super::spec;
 use crate::id;
 
-/// A worker and what speaks against it.
+/// A worker with its cost.
 #[derive(Debug)]
-struct Ranked {
-    /// What speaks against it.
+struct Candidate {
+    /// The cost at the time of the evaluation.
     cost: choose::Cost,
-    /// The worker; of equals the first by name is taken.
+    /// The worker; among equal costs the smallest ID comes first.
     worker: id::Incarnation,
 }
 
-impl Ord for Ranked {
-    /// The best is the greatest, since it is to come first out of a heap.
+impl Ord for Candidate {
+    /// The cheapest worker is the greatest, so that the heap returns it first.
     fn cmp(&self, other: &Self) -> cmp::Ordering {
         other.cost.compare(&self.cost).then_with(|| other.worker.cmp(&self.worker))
     }
 }
 
-impl PartialOrd for Ranked {
+impl PartialOrd for Candidate {
     fn partial_cmp(&self, other: &Self) -> Option<cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl PartialEq for Ranked {
+impl PartialEq for Candidate {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Ranked {}
+impl Eq for Candidate {}
 
-/// The workers that the tasks of a group may go to.
+/// The ranked workers for the tasks of a group.
 #[derive(Debug)]
 pub(super) struct Ranking {
-    /// The workers; one that was given a task stands there again with its new cost.
-    heap: collections::BinaryHeap<Ranked>,
-    /// What the tasks run.
+    /// The workers. One that was given a task is added again with its new cost.
+    heap: collections::BinaryHeap<Candidate>,
+    /// The image that the tasks run.
     image: interference::Image,
 }
 
 impl Ranking {
-    /// Weighs all workers for the tasks of a group.
+    /// Evaluates all workers for the tasks of a group.
     pub fn of(
         holding: &mut holding::Holding,
         task: spec::TaskId,
@@ -65,15 +66,16 @@
         let image = holding.learned.interference.image(step.image.as_deref());
         let holding = &*holding;
         let search = choose::Search::of(holding, task, step, image, now)?;
-        let ranked = holding.views.values().filter_map(|view| {
-            let cost = search.weigh(holding, view)?;
-            Some(Ranked { cost, worker: view.member.incarnation.clone() })
+        let candidates = holding.views.values().filter_map(|view| {
+            let cost = search.evaluate(holding, view)?;
+            Some(Candidate { cost, worker: view.member.incarnation.clone() })
         });
-        Some(Self { heap: ranked.collect(), image })
+        Some(Self { heap: candidates.collect(), image })
     }
 
-    /// Takes the best worker for a task of the group; `placed` is to follow once it has the task.
-    pub fn next(
+    /// Removes and returns the best worker for a task. `update` must follow once the task is
+    /// assigned to it.
+    pub fn pop_best(
         &mut self,
         holding: &holding::Holding,
         task: spec::TaskId,
@@ -82,9 +84,9 @@
     ) -> Option<id::Incarnation> {
         let search = choose::Search::of(holding, task, step, self.image, now)?;
         while let Some(best) = self.heap.pop() {
-            // An entry from before a start there does not count any more.
+            // An entry that was evaluated before the last start on the worker is outdated.
             let view = holding.views.get(&best.worker);
-            let cost = view.and_then(|view| search.weigh(holding, view));
+            let cost = view.and_then(|view| search.evaluate(holding, view));
             if cost.is_some_and(|cost| cost.compare(&best.cost).is_eq()) {
                 return Some(best.worker);
             }
@@ -92,8 +94,8 @@
         None
     }
 
-    /// Weighs a worker anew that was given a task.
-    pub fn placed(
+    /// Evaluates a worker again after a task was assigned to it.
+    pub fn update(
         &mut self,
         holding: &holding::Holding,
         task: spec::TaskId,
@@ -103,9 +105,9 @@
     ) {
         let search = choose::Search::of(holding, task, step, self.image, now);
         let view = holding.views.get(worker);
-        let cost = search.zip(view).and_then(|(search, view)| search.weigh(holding, view));
+        let cost = search.zip(view).and_then(|(search, view)| search.evaluate(holding, view));
         if let Some(cost) = cost {
-            self.heap.push(Ranked { cost, worker: worker.clone() });
+            self.heap.push(Candidate { cost, worker: worker.clone() });
         }
     }
 }
