--- a/crates/wharflane/src/job/spec.rs
+++ b/crates/wharflane/src/job/spec.rs
@@ -1,4 +1,4 @@
-//! What a caller hands in: a graph of steps, each with tasks, and the checks on it.
+//! The specification of a job: steps with tasks and their dependencies, and its validation.
 
 use std::fmt;
 use std::str;
@@ -8,20 +8,21 @@
 use crate::id;
 use crate::size;
 
-/// The longest text that tasks are given, in bytes; callers are promised as much.
+/// Maximum length of the text for tasks, in bytes; callers are promised this much.
 pub const MAX_SPEC_BYTES: usize = 4_000;
-/// The most steps of a job; keeps the row of a job within what the store takes.
+/// Maximum number of steps of a job, which keeps its row within the store's limit.
 pub const MAX_STEPS: usize = 64;
-/// The most tasks of a job, over all steps; keeps its progress within one transaction of the store.
+/// Maximum number of tasks of a job over all steps and rounds, which keeps its progress within one
+/// transaction of the store.
 pub const MAX_TASKS: u64 = 1_000;
-/// The number of hexadecimal digits of a job's name.
+/// Number of hexadecimal digits of a job ID.
 const ID_DIGITS: usize = 16;
 
-/// The name of a job, chosen by its caller.
+/// The ID of a job, chosen by its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
-/// A text that is no job name.
+/// The error for a text that is not a job ID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a job's name is 16 lower-case hexadecimal digits")]
 pub struct BadJobId;
@@ -44,20 +45,20 @@
     }
 }
 
-/// The name of one task of a job.
+/// The ID of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// The job to which the task belongs.
     pub job: JobId,
-    /// Which of the job's due times, from zero.
+    /// The round, which is the index of one of the job's due times, from zero.
     pub round: u32,
-    /// The step.
+    /// The step, by its index in the job.
     pub step: u32,
-    /// The index within the step.
+    /// The index of the task within the step.
     pub index: u32,
 }
 
-/// A text that is no task name.
+/// The error for a text that is not a task ID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a task's name reads job.round.step.index")]
 pub struct BadTaskId;
@@ -80,21 +81,21 @@
     }
 }
 
-/// The tasks of a job that are alike.
+/// A group of equal tasks of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Step {
     /// The number of tasks.
     pub count: u32,
-    /// What a task asks for.
+    /// The capacity that each task requests.
     pub size: size::Size,
-    /// The caller's guess of a task's run time, in milliseconds.
+    /// The caller's estimate of a task's run time, in milliseconds.
     pub estimate_ms: u64,
-    /// The steps whose tasks must all be done first.
+    /// The indices of the steps that must be done first.
     pub after: Vec<u32>,
-    /// Whether tasks save their progress.
+    /// Whether tasks save checkpoints.
     pub checkpoint: bool,
-    /// Whether the tasks work only together.
+    /// Whether the tasks form a gang, which works only as a whole.
     pub gang: bool,
     /// Whether tasks are slower across racks.
     pub same_rack: bool,
@@ -102,24 +103,24 @@
     pub label: Option<String>,
     /// The rack that holds the data.
     pub rack: Option<String>,
-    /// The most tasks of the step on one worker, per round.
+    /// The maximum number of tasks of the step on one worker, per round.
     pub max_per_worker: Option<u32>,
-    /// Whether a task may run twice at once, the first end counting.
+    /// Whether a task may run twice at the same time; the first end counts.
     pub copies: bool,
-    /// Whether tasks run until the job is cancelled, started again however they end.
+    /// Whether tasks run until the job is cancelled and are restarted however they end.
     pub lasting: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// The image that the tasks run; tasks of one image behave alike.
     pub image: Option<String>,
-    /// The tail of answer times that a serving task is to keep, in milliseconds.
+    /// The tail latency that a serving task must meet, in milliseconds.
     pub target_ms: Option<u64>,
-    /// Whether tasks use only the processors that others leave.
+    /// Whether the tasks are best-effort tasks, which use only the CPU that others leave.
     pub fills: bool,
-    /// The most lasting tasks that may be away at once by our doing.
+    /// The maximum number of long-running tasks that the scheduler may interrupt at the same time.
     pub may_miss: Option<u32>,
 }
 
 impl Step {
-    /// Returns what a task takes of the room that is set aside on a worker.
+    /// Returns the capacity that a task reserves on a worker; best-effort tasks reserve no CPU.
     #[must_use]
     pub fn reserved(&self) -> size::Size {
         let cpu_milli = if self.fills { 0 } else { self.size.cpu_milli };
@@ -127,88 +128,88 @@
     }
 }
 
-/// The times at which the steps of a job run.
+/// The schedule of a repeated job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Repeats {
     /// The number of rounds.
     pub times: u32,
     /// When the first round is due, in milliseconds since 1970.
     pub first_ms: u64,
-    /// The time between two rounds, in milliseconds.
+    /// The interval between rounds, in milliseconds.
     pub every_ms: u64,
 }
 
-/// A job as its caller handed it in.
+/// A job as submitted by its caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// The queue that it was handed in to.
+    /// The queue to which it was submitted.
     pub queue: String,
-    /// The service whose workers run it, as the queue said when it was accepted.
+    /// The service whose workers run it, as configured when it was accepted.
     pub service: id::ServiceId,
-    /// The text that every task is given.
+    /// The opaque text that every task receives.
     pub spec: String,
-    /// The steps.
+    /// The steps; each depends only on earlier ones.
     pub steps: Vec<Step>,
-    /// When the steps run, where they don't run just once and at once.
+    /// The schedule; `None` to run once and at once.
     pub repeats: Option<Repeats>,
 }
 
-/// Why a job is refused; nothing of it is kept.
+/// Why a job is rejected; nothing of it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// The text is too long.
+    /// The text for tasks is too long.
     #[error("the text for tasks is {bytes} bytes long, more than {MAX_SPEC_BYTES}")]
     SpecTooLong {
-        /// Its length.
+        /// The length of the text.
         bytes: usize,
     },
-    /// What would be kept of the job is too long for a row of the store.
+    /// The job is too long for a row of the store.
     #[error("the job takes {bytes} bytes to keep, more than {most}")]
     TooLong {
-        /// Its length as it would be kept.
+        /// Its length in stored form.
         bytes: usize,
-        /// The most that the store keeps in one row.
+        /// The maximum length that the store accepts.
         most: usize,
     },
-    /// The store never takes the job's row, whatever its reason.
+    /// The store will never accept the job's row, for a reason of its own.
     #[error("the store does not take the job's row")]
     NotKept,
-    /// There is nothing to run.
+    /// The job has no steps.
     #[error("a job needs at least one step")]
     NoSteps,
-    /// There are too many steps.
+    /// The job has too many steps.
     #[error("{steps} steps are more than {MAX_STEPS}")]
     TooManySteps {
-        /// How many there are.
+        /// The number of its steps.
         steps: usize,
     },
-    /// There are too many tasks.
+    /// The job has too many tasks.
     #[error("{tasks} tasks are more than {MAX_TASKS}")]
     TooManyTasks {
-        /// How many there are.
+        /// The number of its tasks over all rounds.
         tasks: u64,
     },
     /// A step has no tasks.
     #[error("step {step} has no tasks")]
     EmptyStep {
-        /// The step.
+        /// The index of the step.
         step: usize,
     },
-    /// A step waits for itself or a later one.
+    /// A step depends on itself or on a later one.
     #[error("step {step} waits for step {after}, which is not an earlier one")]
     BadOrder {
-        /// The step.
+        /// The index of the step.
         step: usize,
-        /// What it waits for.
+        /// The step on which it depends.
         after: u32,
     },
 }
 
 impl Job {
-    /// Checks a job as a whole.
+    /// Validates the job as a whole.
     ///
     /// # Errors
-    /// Returns the first `Refusal` that holds.
+    /// Returns the first applicable `Refusal`.
     pub fn check(&self) -> Result<(), Refusal> {
         if self.spec.len() > MAX_SPEC_BYTES {
             return Err(Refusal::SpecTooLong { bytes: self.spec.len() });
@@ -239,13 +240,13 @@
         once.saturating_mul(u64::from(self.rounds()))
     }
 
-    /// Returns how often the steps run.
+    /// Returns the number of rounds, at least one.
     #[must_use]
     pub fn rounds(&self) -> u32 {
         self.repeats.map_or(1, |repeats| repeats.times.max(1))
     }
 
-    /// Returns when a round is due, in milliseconds since 1970; zero for at once.
+    /// Returns when a round is due, in milliseconds since 1970; zero means at once.
     #[must_use]
     pub fn due_ms(&self, round: u32) -> u64 {
         self.repeats.map_or(0, |repeats| {
@@ -253,7 +254,7 @@
         })
     }
 
-    /// Returns where a task stands among all tasks of the job, round by round and step by step.
+    /// Returns the index of a task among all tasks of the job, ordered by round, step and index.
     #[must_use]
     pub fn ordinal(&self, round: u32, step: u32, index: u32) -> u64 {
         let counts = self.steps.iter().map(|step| u64::from(step.count));
@@ -262,7 +263,7 @@
         once * u64::from(round) + before + u64::from(index)
     }
 
-    /// Returns one of the steps.
+    /// Returns a step by its index.
     #[must_use]
     pub fn step(&self, step: u32) -> Option<&Step> {
         self.steps.get(step as usize)
--- a/crates/wharflane/src/job/starvation.rs
+++ b/crates/wharflane/src/job/starvation.rs
@@ -1,7 +1,8 @@
-//! Starts one task of a job that waits in vain while most of its service is idle.
+//! Starts a task of a starving job: one that gets no worker although most of its service is idle.
 //!
-//! Learned harm may be wrong, and nothing corrects it while the image does not run. Rests and room kept for
-//! others are preferences. None of them may keep a job from all workers for longer than a bounded time.
+//! Learned interference may be wrong, and nothing corrects it while the image does not run.
+//! Quarantines and reserved capacity are preferences only. None of these may keep a job from all
+//! workers for longer than a bounded time.
 
 use std::cmp;
 use std::collections;
@@ -20,64 +21,68 @@
 use super::worker;
 use crate::id;
 
-/// How long a task waits in vain until it is in need. The users allow 3 s; a commit, a start and some tries on
-/// workers that turn out not to take it are within the other half.
-const NEED_AFTER: time::Duration = time::Duration::from_millis(1_500);
-/// The part of a service's processors in use from which on nothing is expected of it, in percent; the users'.
-const IN_USE_PERCENT: u64 = 50;
-/// The least share at which a task in need works, in percent: what it strains can still be told from noise.
-const LEAST_SHARE: f64 = 10.0;
-/// One worker in so many may hold a task that was started in need and is held back still, so that this does
-/// not become the usual way; its figures then tell how the others fare.
-const EASED_PART: usize = 8;
-/// The most tasks in need for which a worker is sought in one pass; each search looks at all workers.
-const MOST_SOUGHT: usize = 2;
+/// How long a task waits without a worker until it counts as starving. The requirement allows 3 s;
+/// the other half covers a commit, a start and some attempts on workers that turn out not to accept
+/// the task.
+const STARVATION_DELAY: time::Duration = time::Duration::from_millis(1_500);
+/// CPU use of a service, in percent, from which on waiting tasks don't count as starving; given by
+/// the requirement.
+const BUSY_PERCENT: u64 = 50;
+/// Lowest share at which a starving task runs, in percent, so that its strain can be told from
+/// noise.
+const MIN_SHARE_PERCENT: f64 = 10.0;
+/// One worker in this many may hold a task that was started throttled, so that this stays the
+/// exception and the other workers show the image's interference.
+const WORKERS_PER_THROTTLED: usize = 8;
+/// Maximum number of starving tasks per pass for which a worker is searched; each search evaluates
+/// all workers.
+const MAX_SEARCHES_PER_PASS: usize = 2;
 
-/// Notes a task that found no worker, where it is in need.
-pub(super) fn note(
+/// Records a task that found no worker if it is starving.
+pub(super) fn note_if_starving(
     holding: &holding::Holding,
     pass: &mut pass::Pass,
     ready: &work::Ready,
     now: time::Duration,
 ) {
     let waited = now.saturating_sub(ready.since);
-    if waited >= NEED_AFTER && (ready.lasting || !works(holding, ready.task.job)) {
-        pass.in_need.insert(ready.task, *ready);
+    if waited >= STARVATION_DELAY && (ready.lasting || !has_active_task(holding, ready.task.job)) {
+        pass.starving.insert(ready.task, *ready);
     }
 }
 
-/// Starts one of the tasks in need, by turns.
-pub(super) fn relieve(holding: &mut holding::Holding, pass: &pass::Pass, now: time::Duration) {
+/// Starts at most one of the starving tasks, in round-robin order.
+pub(super) fn start_one(holding: &mut holding::Holding, pass: &pass::Pass, now: time::Duration) {
     let mut idle = collections::BTreeMap::<id::ServiceId, bool>::new();
-    let mut sought = 0;
-    let last = holding.relieved_last;
-    let later = pass.in_need.iter().filter(|(task, _)| Some(**task) > last);
-    let earlier = pass.in_need.iter().filter(|(task, _)| Some(**task) <= last);
+    let mut searches = 0;
+    let last = holding.last_starving;
+    let later = pass.starving.iter().filter(|(task, _)| Some(**task) > last);
+    let earlier = pass.starving.iter().filter(|(task, _)| Some(**task) <= last);
     for ready in later.chain(earlier).map(|(_, ready)| ready) {
-        let Some((job, step)) = wanted(holding, ready.task) else {
+        let Some((job, step)) = waiting_step(holding, ready.task) else {
             continue;
         };
         let service = holding.service(&job);
         let idle = match idle.get(service) {
             Some(idle) => *idle,
-            None => *idle.entry(service.clone()).or_insert(is_idle(holding, service)),
+            None => *idle.entry(service.clone()).or_insert(is_mostly_idle(holding, service)),
         };
-        if !idle || step.fills && !may_ease(holding, &step) {
+        if !idle || step.fills && !may_throttle(holding, &step) {
             continue;
         }
-        if sought >= MOST_SOUGHT {
+        if searches >= MAX_SEARCHES_PER_PASS {
             return;
         }
-        sought += 1;
-        holding.relieved_last = Some(ready.task);
+        searches += 1;
+        holding.last_starving = Some(ready.task);
         if start(holding, ready, &step, now) {
             return;
         }
     }
 }
 
-/// Returns whether anything of a job is at work, or on its way there.
-fn works(holding: &holding::Holding, job: spec::JobId) -> bool {
+/// Returns whether any task of a job runs or is about to.
+fn has_active_task(holding: &holding::Holding, job: spec::JobId) -> bool {
     let first = spec::TaskId { job, round: 0, step: 0, index: 0 };
     let mut placed = holding.placed.range(first..).take_while(|(task, _)| task.job == job);
     placed.any(|(_, placed)| match placed.start_state {
@@ -92,7 +97,7 @@
 }
 
 /// Returns job and step of a task that still waits.
-fn wanted(
+fn waiting_step(
     holding: &holding::Holding,
     task: spec::TaskId,
 ) -> Option<(sync::Arc<spec::Job>, spec::Step)> {
@@ -100,25 +105,25 @@
     Some((sync::Arc::clone(&entry.job), entry.job.step(task.step)?.clone()))
 }
 
-/// Returns whether less than a part of a service's processors are in use, by shares.
-fn is_idle(holding: &holding::Holding, service: &id::ServiceId) -> bool {
+/// Returns whether the CPU in use on a service's workers is below `BUSY_PERCENT`.
+fn is_mostly_idle(holding: &holding::Holding, service: &id::ServiceId) -> bool {
     let views =
         holding.views.values().filter(|view| view.listed && view.member.service == *service);
     let (used, whole) = views.fold((0, 0), |(used, whole), view| {
         (used + view.at_work_milli(), whole + view.member.capacity.cpu_milli)
     });
-    used * 100 < whole * IN_USE_PERCENT
+    used * 100 < whole * BUSY_PERCENT
 }
 
-/// Returns whether one more step may have tasks that are held back from their start.
-fn may_ease(holding: &holding::Holding, step: &spec::Step) -> bool {
+/// Returns whether one more task or gang of a step may be started throttled.
+fn may_throttle(holding: &holding::Holding, step: &spec::Step) -> bool {
     let filling = holding.views.values().flat_map(|view| view.filling.values());
     let eased = filling.filter(|filling| filling.started_throttled).count();
     let members = if step.gang { step.count as usize } else { 1 };
-    eased == 0 || eased + members <= holding.views.len() / EASED_PART
+    eased == 0 || eased + members <= holding.views.len() / WORKERS_PER_THROTTLED
 }
 
-/// Starts a task in need, or its whole gang; returns whether workers were found.
+/// Starts a starving task or its whole gang; returns whether workers were found.
 fn start(
     holding: &mut holding::Holding,
     ready: &work::Ready,
@@ -126,40 +131,40 @@
     now: time::Duration,
 ) -> bool {
     if step.gang {
-        let placed = gang::place(holding, ready, step, seek, now);
+        let placed = gang::place(holding, ready, step, choose_worker, now);
         for index in (0..step.count).filter(|_| placed) {
             let task = spec::TaskId { index, ..ready.task };
-            ease(holding, &work::Ready { task, ..*ready }, step, now);
+            throttle(holding, &work::Ready { task, ..*ready }, step, now);
         }
         return placed;
     }
-    let Some(worker) = seek(holding, ready.task, step, None, now) else {
+    let Some(worker) = choose_worker(holding, ready.task, step, None, now) else {
         return false;
     };
-    assign::take(holding, ready, step, &worker, now);
-    ease(holding, ready, step, now);
+    assign::assign(holding, ready, step, &worker, now);
+    throttle(holding, ready, step, now);
     true
 }
 
-/// What speaks against a worker for a task in need, the graver first.
+/// The cost of a worker for a starving task, compared field by field in this order.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct Cost {
-    /// A target is being missed there.
-    missed: bool,
-    /// It rests after failures.
-    rests: bool,
-    /// Its room is kept for another task.
-    kept: bool,
-    /// The tasks there that are held back from their start.
-    eased: usize,
-    /// The share of the task that its serving tasks do not bear.
-    unborne: f64,
-    /// The part of its processors that is in use.
-    used: f64,
+    /// Whether a best-effort task would run beside a task that misses its target.
+    target_missed: bool,
+    /// Whether the worker is in quarantine after failures.
+    quarantined: bool,
+    /// Whether its capacity is reserved for another task.
+    reserved: bool,
+    /// The number of its tasks that were started throttled.
+    throttled: usize,
+    /// The fraction of the task that its serving tasks can't bear.
+    excess: f64,
+    /// The fraction of its CPU in use.
+    cpu_used: f64,
 }
 
-/// Returns the worker that a task in need does least harm to, or nothing.
-fn seek(
+/// Returns the worker of the lowest cost for a starving task, or `None`.
+fn choose_worker(
     holding: &mut holding::Holding,
     task: spec::TaskId,
     step: &spec::Step,
@@ -172,60 +177,62 @@
     let entry = holding.jobs.get(&task.job)?;
     let service = holding.service(&entry.job);
     let state = entry.progress.tasks.get(&task.into());
-    let avoided = state.and_then(|state| state.failed_on.as_ref());
-    let harms = choose::harms(holding, step, image);
-    let kept_off = |view: &worker::View| {
+    let failed_worker = state.and_then(|state| state.failed_on.as_ref());
+    let strains = choose::best_effort_strains(holding, step, image);
+    let obstacle_at = |view: &worker::View| {
         obstacle::plain(view, service, task, step, view.takes_in_need(task, now))
-            .or_else(|| holding.without_ticket(&entry.job, task, &view.member.incarnation, now))
+            .or_else(|| holding.ticket_obstacle(&entry.job, task, &view.member.incarnation, now))
     };
-    let weigh = |view: &worker::View| {
+    let evaluate = |view: &worker::View| {
         let worker = &view.member.incarnation;
         let outside = within.is_some() && view.member.rack.as_deref() != within;
-        let again = view.is_quarantined(now) && avoided == Some(worker);
-        if outside || again || kept_off(view).is_some() {
+        let failed_here = view.is_quarantined(now) && failed_worker == Some(worker);
+        if outside || failed_here || obstacle_at(view).is_some() {
             return None;
         }
-        if step.fills && holding.missed_long(worker, now) {
+        if step.fills && holding.misses_too_long(worker, now) {
             return None;
         }
-        Some(cost(holding, view, step, &harms, now))
+        Some(cost(holding, view, step, &strains, now))
     };
-    let before = |a: &Cost, b: &Cost| a.partial_cmp(b) == Some(cmp::Ordering::Less);
-    choose::cheapest(holding, weigh, before)
+    let is_cheaper = |a: &Cost, b: &Cost| a.partial_cmp(b) == Some(cmp::Ordering::Less);
+    choose::cheapest(holding, evaluate, is_cheaper)
 }
 
-/// Returns what speaks against a worker for a task in need.
+/// Returns the cost of a worker for a starving task.
 fn cost(
     holding: &holding::Holding,
     view: &worker::View,
     step: &spec::Step,
-    harms: &[f64],
+    strains: &[f64],
     now: time::Duration,
 ) -> Cost {
     let headroom = holding.headroom(view, now);
     let part = view.part(step.size.cpu_milli);
     let strain =
-        |image: interference::Image| harms.get(image.number()).copied().unwrap_or(0.0) * part;
+        |image: interference::Image| strains.get(image.number()).copied().unwrap_or(0.0) * part;
     let left = headroom.left.iter().map(|(image, left)| (*left, strain(*image)));
     Cost {
-        missed: step.fills && headroom.missed,
-        rests: view.is_quarantined(now),
-        kept: holding.kept_for.contains(&view.member.incarnation),
-        eased: view.filling.values().filter(|filling| filling.started_throttled).count(),
-        unborne: if step.fills { 1.0 - borne(left) } else { 0.0 },
-        used: view.part(view.at_work_milli()),
+        target_missed: step.fills && headroom.missed,
+        quarantined: view.is_quarantined(now),
+        reserved: holding.reserved_workers.contains(&view.member.incarnation),
+        throttled: view.filling.values().filter(|filling| filling.started_throttled).count(),
+        excess: if step.fills { 1.0 - bearable_fraction(left) } else { 0.0 },
+        cpu_used: view.part(view.at_work_milli()),
     }
 }
 
-/// Returns which share of a task serving tasks bear, by what each has left and the strain of the whole task.
-fn borne(left: impl Iterator<Item = (f64, f64)>) -> f64 {
-    let shares =
-        left.map(|(left, strain)| if strain > 0.0 { left / (strain * choose::SURGE) } else { 1.0 });
+/// Returns the fraction of a task that serving tasks can bear, from the headroom of each and the
+/// strain of the whole task on it.
+fn bearable_fraction(left: impl Iterator<Item = (f64, f64)>) -> f64 {
+    let shares = left.map(
+        |(left, strain)| if strain > 0.0 { left / (strain * choose::PEAK_FACTOR) } else { 1.0 },
+    );
     shares.fold(1.0, f64::min)
 }
 
-/// Holds a task in need back from its start on, as far as its neighbours don't bear it.
-fn ease(
+/// Throttles a starving task from its start, down to the fraction that its neighbours can bear.
+fn throttle(
     holding: &mut holding::Holding,
     ready: &work::Ready,
     step: &spec::Step,
@@ -237,8 +244,8 @@
     let Some(view) = holding.views.get(&worker) else {
         return;
     };
-    let (strain, room, borne) = told(holding, view, ready.task, now);
-    let percent = (borne * 1e2).clamp(LEAST_SHARE, 1e2) as u8;
+    let (strain, room, bearable_fraction) = strain_and_headroom(holding, view, ready.task, now);
+    let percent = (bearable_fraction * 1e2).clamp(MIN_SHARE_PERCENT, 1e2) as u8;
     holding.starvation_starts += 1;
     tracing::info!(
         task = %ready.task,
@@ -248,10 +255,10 @@
         strain,
         room,
         rests = view.is_quarantined(now),
-        kept = holding.kept_for.contains(&worker),
+        kept = holding.reserved_workers.contains(&worker),
         fills = step.fills,
         relieved = holding.starvation_starts,
-        "started in need"
+        "started a starving task"
     );
     let view = holding.views.get_mut(&worker);
     if let Some(filling) = view.and_then(|view| view.filling.get_mut(&ready.task)) {
@@ -263,9 +270,9 @@
     holding.refresh_headroom_of(&worker, now);
 }
 
-/// Returns the greatest strain of a placed task on its neighbours, the least that they have left beside it,
-/// and the share of the task that they bear.
-fn told(
+/// Returns the greatest strain of a placed task on its neighbours, their least headroom without it,
+/// and the fraction of the task that they can bear.
+fn strain_and_headroom(
     holding: &holding::Holding,
     view: &worker::View,
     task: spec::TaskId,
@@ -275,13 +282,13 @@
         return (0.0, 1.0, 1.0);
     };
     let part = view.part(filling.cpu_milli);
-    // What is left is told with the task at work.
-    let beside = holding.headroom(view, now).left.into_iter().map(|(serving, left)| {
+    // The headroom already accounts for the placed task.
+    let neighbours = holding.headroom(view, now).left.into_iter().map(|(serving, left)| {
         let strain = holding.learned.interference.slope(serving, filling.image) * part;
         (left + strain, strain)
     });
-    let beside: Vec<(f64, f64)> = beside.collect();
-    let strain = beside.iter().map(|(_, strain)| *strain).fold(0.0, f64::max);
-    let room = beside.iter().map(|(left, _)| *left).fold(1.0, f64::min);
-    (strain, room, borne(beside.into_iter()))
+    let neighbours: Vec<(f64, f64)> = neighbours.collect();
+    let strain = neighbours.iter().map(|(_, strain)| *strain).fold(0.0, f64::max);
+    let room = neighbours.iter().map(|(left, _)| *left).fold(1.0, f64::min);
+    (strain, room, bearable_fraction(neighbours.into_iter()))
 }
--- a/crates/wharflane/src/job/tickets.rs
+++ b/crates/wharflane/src/job/tickets.rs
@@ -1,4 +1,5 @@
-//! Tickets for steps that only some workers may run, and how they are asked for.
+//! Tickets for steps that only some workers may run, and the messages to the advice service that
+//! issues them.
 
 use std::collections;
 use std::time;
@@ -7,104 +8,108 @@
 use super::spec;
 use crate::id;
 
-/// The share of workers that is taken to be good before any answer came.
-const GOOD_SHARE: f64 = 0.5;
+/// Accepted share that is assumed before the first answer.
+const INITIAL_ACCEPTED_SHARE: f64 = 0.5;
 
-/// How long the advice service takes for a queue, and how long its tickets hold.
+/// The timing of the advice service for a queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdviceTiming {
-    /// What it takes for a question.
+    /// Processing time of a request.
     pub decide: time::Duration,
-    /// What it takes beyond that for each worker named.
+    /// Additional processing time per named worker.
     pub each: time::Duration,
-    /// How long a ticket holds.
+    /// How long a ticket is valid.
     pub valid: time::Duration,
 }
 
-/// A question: which of these workers may run the tasks of a step.
+/// A request to the advice service: which of these workers may run the tasks of a step?
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdviceRequest {
-    /// The job.
+    /// The job to which the step belongs.
     pub job: spec::JobId,
-    /// The round.
+    /// The round of the job.
     pub round: u32,
-    /// The step.
+    /// The step, by its index in the job.
     pub step: u32,
-    /// The workers.
+    /// The named workers.
     pub workers: Vec<id::Incarnation>,
-    /// How long the answer may take.
+    /// How long to wait for the answer.
     pub timeout: time::Duration,
 }
 
-/// An answer: the workers that may, each with the ticket to show there.
+/// The answer of the advice service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advice {
-    /// The workers and their tickets.
+    /// The accepted workers, each with its ticket.
     pub good: Vec<(id::Incarnation, String)>,
-    /// How long the tickets hold.
+    /// How long the tickets are valid.
     pub valid: time::Duration,
 }
 
 /// A ticket for all tasks of a step on one worker.
 #[derive(Clone, Debug)]
 pub(super) struct Ticket {
-    /// What to show.
+    /// The text to present to the worker.
     pub text: String,
-    /// Until when it is used.
+    /// When it is no longer used, which is shortly before it expires.
     pub until: time::Duration,
 }
 
-/// What is known of one step.
+/// The known answers for one step.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Known {
-    /// Workers that may run it.
-    pub good: collections::BTreeMap<id::Incarnation, Ticket>,
-    /// Workers that may not; that does not change.
-    pub bad: collections::BTreeSet<id::Incarnation>,
-    /// Whether a question is under way.
-    pub asked: bool,
-    /// When the next question may be asked.
-    pub again: time::Duration,
+pub(super) struct StepTickets {
+    /// The accepted workers with their tickets.
+    pub accepted: collections::BTreeMap<id::Incarnation, Ticket>,
+    /// The denied workers; a denial is final.
+    pub denied: collections::BTreeSet<id::Incarnation>,
+    /// Whether a request is open.
+    pub request_open: bool,
+    /// When the next request may be sent.
+    pub retry_at: time::Duration,
 }
 
 /// All tickets of a domain.
 #[derive(Debug)]
 pub(super) struct Tickets {
-    /// What is known, by step.
-    pub steps: collections::BTreeMap<group::Group, Known>,
-    /// Questions under way.
-    pub open: usize,
-    /// The share of workers named that are good.
-    pub share: f64,
+    /// The known answers, by step and round.
+    pub steps: collections::BTreeMap<group::Group, StepTickets>,
+    /// The number of open requests.
+    pub open_requests: usize,
+    /// Moving average of the accepted share of named workers.
+    pub accepted_share: f64,
 }
 
 impl Default for Tickets {
     fn default() -> Self {
-        Self { steps: collections::BTreeMap::new(), open: 0, share: GOOD_SHARE }
+        Self {
+            steps: collections::BTreeMap::new(),
+            open_requests: 0,
+            accepted_share: INITIAL_ACCEPTED_SHARE,
+        }
     }
 }
 
 impl Tickets {
-    /// Returns the ticket for a task on a worker, as long as it can be used.
+    /// Returns the ticket for a task on a worker while it is usable.
     pub fn get(
         &self,
         task: spec::TaskId,
         worker: &id::Incarnation,
         now: time::Duration,
     ) -> Option<&str> {
-        let ticket = self.steps.get(&group::group(task))?.good.get(worker)?;
+        let ticket = self.steps.get(&group::group(task))?.accepted.get(worker)?;
         (now < ticket.until).then_some(&ticket.text)
     }
 
-    /// Forgets a ticket that a worker did not take.
+    /// Drops a ticket that a worker refused.
     pub fn refused(&mut self, task: spec::TaskId, worker: &id::Incarnation) {
-        if let Some(known) = self.steps.get_mut(&group::group(task)) {
-            known.good.remove(worker);
+        if let Some(step_tickets) = self.steps.get_mut(&group::group(task)) {
+            step_tickets.accepted.remove(worker);
         }
     }
 
-    /// Forgets everything about a job that has ended.
+    /// Drops all tickets of an ended job.
     pub fn forget(&mut self, job: spec::JobId) {
-        self.steps.retain(|(known, ..), _| *known != job);
+        self.steps.retain(|(owner, ..), _| *owner != job);
     }
 }
--- a/crates/wharflane/src/job/waits.rs
+++ b/crates/wharflane/src/job/waits.rs
@@ -1,4 +1,4 @@
-//! Tells operators what keeps tasks that have waited for long.
+//! Logs for operators why tasks that have waited for long get no worker.
 
 use std::collections;
 use std::time;
@@ -12,16 +12,17 @@
 use super::work;
 use super::worker;
 
-/// How long a task waits until it is told what keeps it; most find a worker in a tenth of it.
-const TOLD_AFTER: time::Duration = time::Duration::from_secs(2);
-/// The most lines in one pass; each looks at all workers anew.
-const MOST_TOLD: usize = 2;
-/// The time between two lines about one step; bounds their number by the steps that wait.
-const TOLD_AGAIN: time::Duration = time::Duration::from_secs(10);
+/// How long a task waits before the reason is logged; most find a worker in a tenth of this.
+const LOG_AFTER: time::Duration = time::Duration::from_secs(2);
+/// Maximum number of lines per pass, since each evaluates all workers.
+const MAX_LINES_PER_PASS: usize = 2;
+/// Interval between lines about one group, which bounds their number by the number of waiting
+/// groups.
+const LOG_INTERVAL: time::Duration = time::Duration::from_secs(10);
 
 impl holding::Holding {
-    /// Logs what keeps a task that has waited for long; once a while for each step.
-    pub(super) fn tell_wait(
+    /// Logs why a task that has waited for long gets no worker, at a limited rate per group.
+    pub(super) fn log_wait(
         &mut self,
         pass: &mut pass::Pass,
         ready: &work::Ready,
@@ -30,13 +31,13 @@
     ) {
         let waited = now.saturating_sub(ready.since);
         let group = group::group(ready.task);
-        let told = self.told.get(&group);
-        let due = told.is_none_or(|at| now.saturating_sub(*at) >= TOLD_AGAIN);
-        if waited < TOLD_AFTER || !due || pass.told >= MOST_TOLD {
+        let logged_at = self.wait_logged_at.get(&group);
+        let due = logged_at.is_none_or(|at| now.saturating_sub(*at) >= LOG_INTERVAL);
+        if waited < LOG_AFTER || !due || pass.lines_logged >= MAX_LINES_PER_PASS {
             return;
         }
-        pass.told += 1;
-        self.told.insert(group, now);
+        pass.lines_logged += 1;
+        self.wait_logged_at.insert(group, now);
         let obstacles = self.obstacles(ready.task, step, now);
         let count = |obstacle| obstacles.get(&obstacle).copied().unwrap_or(0);
         tracing::info!(
@@ -50,9 +51,9 @@
             unavailable = count(obstacle::Obstacle::Unavailable),
             no_room = count(obstacle::Obstacle::Room),
             spread = count(obstacle::Obstacle::Spread),
-            kept = count(obstacle::Obstacle::Kept),
+            kept = count(obstacle::Obstacle::Reserved),
             no_ticket = count(obstacle::Obstacle::Ticket),
-            harm = count(obstacle::Obstacle::Harm),
+            harm = count(obstacle::Obstacle::Interference),
             gang = step.gang,
             cpu_milli = step.size.cpu_milli,
             mem_mb = step.size.mem_mb,
@@ -60,7 +61,7 @@
         );
     }
 
-    /// Counts the workers that don't take a task, by what keeps it from them.
+    /// Counts the workers that can't take a task, by obstacle.
     fn obstacles(
         &mut self,
         task: spec::TaskId,
@@ -73,31 +74,31 @@
             return counts;
         };
         let service = self.service(&entry.job);
-        let harms = choose::harms(self, step, image);
+        let strains = choose::best_effort_strains(self, step, image);
         for view in self.views.values() {
-            let harm = || {
-                let none = choose::cost(self, view, step, image, &harms, now).is_none();
-                none.then_some(obstacle::Obstacle::Harm)
+            let interference = || {
+                let none = choose::cost(self, view, step, image, &strains, now).is_none();
+                none.then_some(obstacle::Obstacle::Interference)
             };
-            let kept = || {
-                let kept = self.kept_for.contains(&view.member.incarnation);
-                kept.then_some(obstacle::Obstacle::Kept)
+            let reserved = || {
+                let reserved = self.reserved_workers.contains(&view.member.incarnation);
+                reserved.then_some(obstacle::Obstacle::Reserved)
             };
-            let ticket = || self.without_ticket(&entry.job, task, &view.member.incarnation, now);
+            let ticket = || self.ticket_obstacle(&entry.job, task, &view.member.incarnation, now);
             let plain = obstacle::plain(view, service, task, step, view.takes(task, now));
-            if let Some(obstacle) = plain.or_else(kept).or_else(ticket).or_else(harm) {
+            if let Some(obstacle) = plain.or_else(reserved).or_else(ticket).or_else(interference) {
                 *counts.entry(obstacle).or_default() += 1;
             }
         }
         counts
     }
 
-    /// Forgets what was told of steps that don't wait any more.
-    pub(super) fn forget_told(&mut self) {
+    /// Forgets when the reasons were logged for groups that no longer wait.
+    pub(super) fn forget_logged_waits(&mut self) {
         let ready = &self.ready;
-        self.told.retain(|(job, round, step), _| {
+        self.wait_logged_at.retain(|(job, round, step), _| {
             let first = spec::TaskId { job: *job, round: *round, step: *step, index: 0 };
-            ready.range(group::kin(first)).next().is_some()
+            ready.range(group::siblings(first)).next().is_some()
         });
     }
 }
