--- a/crates/daemon/src/control/config.rs
+++ b/crates/daemon/src/control/config.rs
@@ -1,4 +1,7 @@
-//! Configuration: checked whole, put in force by one conditional write, and never taken back.
+//! Keeps the declared configuration of all hosts.
+//!
+//! A submission is checked as a whole, stored as an object and put in force by one conditional
+//! write of the head row. A host never goes back to an older revision.
 
 use std::fmt::Write as _;
 use std::sync;
@@ -12,60 +15,60 @@
 use super::Shared;
 use super::msg;
 
-/// The key of the head row.
+/// Key of the head row, which names the revision in force.
 pub const HEAD_KEY: &str = "config/head";
-/// The key of the row that remembers submissions.
+/// Key of the row that lists recent submissions.
 const RECENT_KEY: &str = "config/recent";
-/// How many submissions are remembered.
-const RECENT_KEPT: usize = 64;
-/// How often a write whose fate is in doubt is looked at.
-const DOUBT_READS: u32 = 5;
+/// Number of submissions that are remembered to detect repeated ones.
+const MAX_RECENT: usize = 64;
+/// Reads made to learn whether a write with unknown outcome took effect.
+const RESOLVE_READS: u32 = 5;
 
-/// The head row.
+/// The value of the head row.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Head {
-    /// The revision in force.
+    /// Revision in force.
     revision: u64,
-    /// The key of the object that holds it.
+    /// Key of the object that holds the revision.
     object: String,
 }
 
-/// A submission that was accepted.
+/// An accepted submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Recent {
-    /// Its name.
+    /// Id that the operator's client gave the submission.
     apply_id: String,
-    /// Its revision.
+    /// Revision that the submission became.
     revision: u64,
 }
 
-/// What the keeper of the configuration is told.
+/// Messages to the configuration actor.
 #[derive(Debug)]
 pub enum Msg {
-    /// It is time to read the head row.
+    /// Poll timer: read the head row.
     Poll,
-    /// The head row was read.
+    /// The head row was read with this revision; `None` if the read failed.
     Head(Option<u64>),
-    /// A revision was read from the object store or came from a peer.
-    Offered(Box<desired::Stored>),
-    /// A revision was read through beside the control thread.
-    Read(msg::Loaded),
-    /// A peer has a revision in force.
-    Nudged(u64),
+    /// A revision was read from the object store or received from a peer.
+    Fetched(Box<desired::Stored>),
+    /// A revision was parsed outside the control thread.
+    Parsed(msg::Loaded),
+    /// A peer reported the revision that it has in force.
+    RevisionAnnounced(u64),
 }
 
-/// The keeper of the configuration.
+/// The configuration actor.
 #[derive(Debug)]
 pub struct ConfigActor;
 
-/// What the keeper knows.
+/// State of the configuration actor.
 #[derive(Debug)]
 pub struct State {
-    /// What all actors share.
+    /// State that all actors share.
     shared: Shared,
-    /// The root actor.
+    /// The root actor, which receives new configurations.
     root: ractor::ActorRef<msg::Msg>,
-    /// The revision in force.
+    /// Revision in force; 0 before the first.
     revision: u64,
 }
 
@@ -92,20 +95,20 @@
     ) -> Result<(), ractor::ActorProcessingErr> {
         match message {
             Msg::Poll => fetch(&myself, state.shared.clone(), state.revision),
-            Msg::Nudged(revision) if revision > state.revision => {
+            Msg::RevisionAnnounced(revision) if revision > state.revision => {
                 fetch(&myself, state.shared.clone(), state.revision);
             }
-            Msg::Nudged(_) => {}
-            Msg::Head(revision) => state.root.cast(msg::Msg::HeadSeen(revision))?,
-            Msg::Offered(stored) => read_through(&myself, *stored, state.revision),
-            Msg::Read(loaded) => state.put_in_force(loaded)?,
+            Msg::RevisionAnnounced(_) => {}
+            Msg::Head(revision) => state.root.cast(msg::Msg::HeadRead(revision))?,
+            Msg::Fetched(stored) => parse_in_background(&myself, *stored, state.revision),
+            Msg::Parsed(loaded) => state.put_in_force(loaded)?,
         }
         Ok(())
     }
 }
 
 impl State {
-    /// Puts a revision in force unless it is not newer than the one in force.
+    /// Puts a revision in force if it is newer than the one in force.
     fn put_in_force(&mut self, loaded: msg::Loaded) -> Result<(), ractor::ActorProcessingErr> {
         let revision = loaded.current.revision;
         if revision <= self.revision {
@@ -119,8 +122,8 @@
     }
 }
 
-/// Reads a newer revision through on another thread, since a large one takes a while.
-fn read_through(myself: &ractor::ActorRef<Msg>, stored: desired::Stored, known: u64) {
+/// Parses a newer revision on a blocking thread, since a large one would delay control.
+fn parse_in_background(myself: &ractor::ActorRef<Msg>, stored: desired::Stored, known: u64) {
     let revision = stored.revision;
     if revision <= known {
         return;
@@ -130,13 +133,13 @@
         Ok(desired) => {
             let current = sync::Arc::new(hall::Current { revision, desired });
             let loaded = msg::Loaded { stored: sync::Arc::new(stored), current };
-            let _ = myself.cast(Msg::Read(loaded));
+            let _ = myself.cast(Msg::Parsed(loaded));
         }
-        Err(_) => tracing::error!(revision, "configuration can't be read by this build"),
+        Err(_) => tracing::error!(revision, "configuration can't be parsed by this build"),
     });
 }
 
-/// Reads the head row, and the object that it names if that is newer.
+/// Reads the head row and, if it is newer, the object that it names.
 fn fetch(myself: &ractor::ActorRef<Msg>, shared: Shared, known: u64) {
     let myself = myself.clone();
     tokio::spawn(async move {
@@ -152,27 +155,27 @@
         if let Ok(stored) = object.map(|bytes| serde_json::from_slice(&bytes))
             && let Ok(stored) = stored
         {
-            let _ = myself.cast(Msg::Offered(Box::new(stored)));
+            let _ = myself.cast(Msg::Fetched(Box::new(stored)));
         }
     });
 }
 
-/// Reads a head row; an absent one stands for revision zero.
+/// Parses a head row into its version and value; an absent row has version and revision 0.
 fn head_of(row: Option<&platform::Row>) -> (u64, Head) {
     let version = row.map_or(0, |row| row.version);
     let head = row.and_then(|row| serde_json::from_str(&row.value).ok()).unwrap_or_default();
     (version, head)
 }
 
-/// The rows that a submission depends on, as they were read.
-struct Before {
-    /// The version and value of the head row.
+/// The rows that a submission is checked against, as they were read.
+struct SubmissionRows {
+    /// Version and value of the head row.
     head: (u64, Head),
-    /// The version and value of the row that remembers submissions.
+    /// Version and value of the row of recent submissions.
     recent: (u64, Vec<Recent>),
 }
 
-/// Checks a submission and puts it in force, or says why not.
+/// Checks a submission and puts it in force, or returns why it was not accepted.
 pub async fn apply(shared: &Shared, apply: &operator::Apply) -> operator::Applied {
     let text = apply.text.clone();
     let parsed = tokio::task::spawn_blocking(move || desired::parse(&text)).await;
@@ -181,10 +184,10 @@
         Ok(Err(faults)) => return operator::Applied::Refused { faults },
         Err(_) => return operator::Applied::Unknown,
     };
-    let Some(before) = read_before(shared).await else {
+    let Some(before) = read_submission_rows(shared).await else {
         return operator::Applied::Unknown;
     };
-    if let Some(revision) = remembered(&before, &apply.apply_id) {
+    if let Some(revision) = recent_revision(&before, &apply.apply_id) {
         return operator::Applied::Accepted { revision };
     }
     let head = &before.head.1;
@@ -203,11 +206,11 @@
     put_in_force(shared, apply, &before, &stored).await
 }
 
-/// Stores a revision and moves the head row to it.
+/// Stores a revision and points the head row at it.
 async fn put_in_force(
     shared: &Shared,
     apply: &operator::Apply,
-    before: &Before,
+    before: &SubmissionRows,
     stored: &desired::Stored,
 ) -> operator::Applied {
     let Ok(text) = serde_json::to_string(stored) else {
@@ -232,35 +235,35 @@
     }
 }
 
-/// Finds out what became of a submission whose answer was lost or which met another.
+/// Determines the result of a submission whose write had no answer or met a conflict.
 async fn resolve(shared: &Shared, apply: &operator::Apply, base: u64) -> operator::Applied {
-    for _ in 0..DOUBT_READS {
-        if let Some(now) = read_before(shared).await {
-            if let Some(revision) = remembered(&now, &apply.apply_id) {
+    for _ in 0..RESOLVE_READS {
+        if let Some(now) = read_submission_rows(shared).await {
+            if let Some(revision) = recent_revision(&now, &apply.apply_id) {
                 return operator::Applied::Accepted { revision };
             }
-            // An unchanged head proves nothing: the write may still be on its way.
+            // An unchanged head row proves nothing: the write may still take effect.
             if now.head.1.revision > base {
                 return operator::Applied::Moved { revision: now.head.1.revision };
             }
         }
-        tokio::time::sleep(shared.time("poll_ms") / DOUBT_READS).await;
+        tokio::time::sleep(shared.time("poll_ms") / RESOLVE_READS).await;
     }
     operator::Applied::Unknown
 }
 
-/// Returns the transaction that moves the head row.
+/// Returns the transaction that points the head row at a revision; `None` if encoding fails.
 fn transaction(
     apply: &operator::Apply,
-    before: &Before,
+    before: &SubmissionRows,
     revision: u64,
     object: &str,
 ) -> Option<platform::Txn> {
     let head = Head { revision, object: object.to_owned() };
     let mut recent = before.recent.1.clone();
     recent.push(Recent { apply_id: apply.apply_id.clone(), revision });
-    let spare = recent.len().saturating_sub(RECENT_KEPT);
-    recent.drain(..spare);
+    let excess = recent.len().saturating_sub(MAX_RECENT);
+    recent.drain(..excess);
     let check = |key: &str, version| platform::Check { key: key.to_owned(), version };
     let write = |key: &str, value| platform::Write { key: key.to_owned(), value: Some(value) };
     Some(platform::Txn {
@@ -272,8 +275,8 @@
     })
 }
 
-/// Reads the rows that a submission depends on.
-async fn read_before(shared: &Shared) -> Option<Before> {
+/// Reads the head row and the row of recent submissions.
+async fn read_submission_rows(shared: &Shared) -> Option<SubmissionRows> {
     let keys = vec![HEAD_KEY.to_owned(), RECENT_KEY.to_owned()];
     let rows = shared.platform.read(keys).await;
     shared.count_call("read", &rows);
@@ -283,10 +286,10 @@
         Some(row) => (row.version, serde_json::from_str(&row.value).ok()?),
         None => (0, Vec::new()),
     };
-    Some(Before { head: head_of(row(HEAD_KEY)), recent })
+    Some(SubmissionRows { head: head_of(row(HEAD_KEY)), recent })
 }
 
-/// Reads the desired state that a head row names.
+/// Reads the desired state that a head row points to.
 async fn read_desired(shared: &Shared, head: &Head) -> Option<desired::Desired> {
     if head.revision == 0 {
         return Some(desired::Desired::default());
@@ -297,17 +300,17 @@
     stored.desired().ok()
 }
 
-/// Returns the revision of a submission that was accepted before.
-fn remembered(before: &Before, apply_id: &str) -> Option<u64> {
+/// Returns the revision of a submission if it was accepted before.
+fn recent_revision(before: &SubmissionRows, apply_id: &str) -> Option<u64> {
     let found = before.recent.1.iter().find(|recent| recent.apply_id == apply_id);
     found.map(|recent| recent.revision)
 }
 
-/// Returns the content hash of a text.
+/// Returns the SHA-256 hash of a text in hexadecimal.
 fn hash(text: &str) -> String {
     let mut hex = String::new();
     for byte in sha2::Sha256::digest(text.as_bytes()) {
-        // Writing to a String can't fail.
+        // Writing to a `String` can't fail.
         let _ = write!(hex, "{byte:02x}");
     }
     hex
--- a/crates/daemon/src/control/gossip.rs
+++ b/crates/daemon/src/control/gossip.rs
@@ -1,4 +1,7 @@
-//! Tells the other hosts at once what they need: revisions, endpoint tables, digests.
+//! Sends configuration revisions, endpoint tables and digests to the other hosts.
+//!
+//! News is sent at once and digests once per round. Each peer has at most one message in flight. A
+//! peer that did not reply is sent all tables again, since it may have restarted without them.
 
 use std::collections;
 use std::net;
@@ -11,60 +14,60 @@
 use super::Shared;
 use super::msg;
 
-/// What the gossip actor is told.
+/// Messages to the gossip actor.
 #[derive(Debug)]
 pub enum Msg {
-    /// It is time to tell every peer.
+    /// Round timer: send to every peer.
     Round,
-    /// The peers changed.
+    /// The list of peers changed.
     Peers(collections::BTreeMap<id::HostId, net::SocketAddr>),
-    /// A revision came into force here.
+    /// A revision came into force on this host.
     Revision(u64),
-    /// A hall held here has a new table.
+    /// A hall held by this host has a new endpoint table.
     Table(endpoints::Table),
-    /// A hall is held by another host now, or by this one.
+    /// The holder of a hall changed; `None` if it has none.
     Holder(id::HallId, Option<id::HostId>),
-    /// A peer said which revision it has.
-    Heard(id::HostId, Option<peer::GossipReply>),
-    /// A connection to a peer stands.
+    /// A peer replied with its revision; `None` if it did not reply.
+    Replied(id::HostId, Option<peer::GossipReply>),
+    /// A connection to a peer was used successfully and is to be reused.
     Connected(id::HostId, peer::Link),
-    /// A connection to a peer that was kept from an earlier message gave no answer.
-    Silent(id::HostId),
+    /// A peer did not reply over a reused connection.
+    NoReply(id::HostId),
 }
 
 /// The gossip actor.
 #[derive(Debug)]
 pub struct Gossip;
 
-/// A peer.
+/// State of the exchange with one peer.
 #[derive(Debug)]
 struct PeerState {
-    /// Where it is reached.
+    /// Address of the peer.
     addr: net::SocketAddr,
-    /// The connection.
-    client: Option<peer::Link>,
-    /// Whether an answer is awaited.
-    busy: bool,
-    /// The tables it was told, by hall.
-    told: collections::BTreeMap<id::HallId, (u64, u64)>,
-    /// The tables told in the message under way.
-    telling: collections::BTreeMap<id::HallId, (u64, u64)>,
+    /// Connection to reuse; `None` if the next message must open one.
+    link: Option<peer::Link>,
+    /// Whether a message is in flight.
+    awaiting_reply: bool,
+    /// Epoch and version of the tables that the peer acknowledged, by hall.
+    acked: collections::BTreeMap<id::HallId, (u64, u64)>,
+    /// Epoch and version of the tables in the message in flight, by hall.
+    in_message: collections::BTreeMap<id::HallId, (u64, u64)>,
 }
 
-/// What the actor knows.
+/// State of the gossip actor.
 #[derive(Debug)]
 pub struct State {
-    /// What all actors share.
+    /// State that all actors share.
     shared: Shared,
-    /// The root actor.
+    /// The root actor, which receives digests and newer revisions.
     root: ractor::ActorRef<msg::Msg>,
-    /// The peers.
+    /// Peers by host, without this host.
     peers: collections::BTreeMap<id::HostId, PeerState>,
-    /// The revision in force here.
+    /// Revision in force on this host.
     revision: u64,
-    /// The tables of halls held here.
+    /// Endpoint tables of the halls held by this host.
     tables: collections::BTreeMap<id::HallId, endpoints::Table>,
-    /// The holder of each hall.
+    /// Holder of each hall that has one.
     holders: collections::BTreeMap<id::HallId, id::HostId>,
 }
 
@@ -100,23 +103,24 @@
             Msg::Peers(peers) => state.set_peers(&peers),
             Msg::Revision(revision) => {
                 state.revision = revision;
-                state.tell_all(&myself, &[], "news");
+                state.send_all(&myself, &[], "news");
             }
             Msg::Table(table) => {
                 state.tables.insert(table.hall.clone(), table);
-                state.tell_all(&myself, &[], "news");
+                state.send_all(&myself, &[], "news");
             }
             Msg::Holder(hall, holder) => state.set_holder(hall, holder),
-            Msg::Heard(host, heard) => state.heard(&host, heard)?,
-            Msg::Silent(host) => {
-                tracing::info!(peer = %host, "no answer over a kept connection, which is closed");
-                state.heard(&host, None)?;
-                // What it was to be told waits no further round; digests are of their interval only.
-                state.tell(&myself, &host, &[], "again");
+            Msg::Replied(host, reply) => state.handle_reply(&host, reply)?,
+            Msg::NoReply(host) => {
+                tracing::info!(peer = %host, "no reply over a reused connection, which is closed");
+                state.handle_reply(&host, None)?;
+                // Retries at once instead of in the next round; digests are not sent again, as they
+                // only describe their own interval.
+                state.send(&myself, &host, &[], "again");
             }
-            Msg::Connected(host, client) => {
+            Msg::Connected(host, link) => {
                 if let Some(peer_state) = state.peers.get_mut(&host) {
-                    peer_state.client = Some(client);
+                    peer_state.link = Some(link);
                 }
             }
         }
@@ -125,7 +129,7 @@
 }
 
 impl State {
-    /// Takes the list of peers; connections to those that stay are kept.
+    /// Replaces the list of peers; the state of peers whose address is unchanged is kept.
     fn set_peers(&mut self, peers: &collections::BTreeMap<id::HostId, net::SocketAddr>) {
         self.peers.retain(|host, peer_state| peers.get(host) == Some(&peer_state.addr));
         for (host, addr) in peers {
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Notes the holder of a hall; what is not held here is not told.
+    /// Records the holder of a hall; tables of halls not held by this host are not sent.
     fn set_holder(&mut self, hall: id::HallId, holder: Option<id::HostId>) {
         if holder.as_ref() != Some(self.shared.host()) {
             self.tables.remove(&hall);
@@ -146,7 +150,7 @@
         };
     }
 
-    /// Takes the digests of the interval and tells every peer.
+    /// Collects the digests of the interval and sends to every peer.
     fn round(&mut self, myself: &ractor::ActorRef<Msg>) -> Result<(), ractor::ActorProcessingErr> {
         let digests = self.shared.traffic.take_digests(self.shared.host());
         let own = self.shared.host().clone();
@@ -155,12 +159,12 @@
                 self.root.cast(msg::Msg::Digest(digest.clone()))?;
             }
         }
-        self.tell_all(myself, &digests, "round");
+        self.send_all(myself, &digests, "round");
         Ok(())
     }
 
-    /// Tells every peer that is not being told already.
-    fn tell_all(
+    /// Sends to every peer that has no message in flight.
+    fn send_all(
         &mut self,
         myself: &ractor::ActorRef<Msg>,
         digests: &[digest::Digest],
@@ -168,12 +172,12 @@
     ) {
         let hosts: Vec<id::HostId> = self.peers.keys().cloned().collect();
         for host in hosts {
-            self.tell(myself, &host, digests, cause);
+            self.send(myself, &host, digests, cause);
         }
     }
 
-    /// Tells one peer unless it is being told already.
-    fn tell(
+    /// Sends to one peer unless it has a message in flight.
+    fn send(
         &mut self,
         myself: &ractor::ActorRef<Msg>,
         host: &id::HostId,
@@ -182,55 +186,57 @@
     ) {
         let timeout = self.shared.time("gossip_ms") * 2;
         let gossip = self.gossip_for(host, digests);
-        let Some(peer_state) = self.peers.get_mut(host).filter(|peer_state| !peer_state.busy)
+        let Some(peer_state) =
+            self.peers.get_mut(host).filter(|peer_state| !peer_state.awaiting_reply)
         else {
             return;
         };
-        peer_state.busy = true;
+        peer_state.awaiting_reply = true;
         self.shared.metrics.gossip.with_label_values(&[cause]).inc();
-        peer_state.telling =
+        peer_state.in_message =
             gossip.tables.iter().map(|t| (t.hall.clone(), (t.epoch, t.version))).collect();
-        let client = peer_state.client.clone();
-        tokio::spawn(tell(myself.clone(), host.clone(), peer_state.addr, client, gossip, timeout));
+        let link = peer_state.link.clone();
+        tokio::spawn(send(myself.clone(), host.clone(), peer_state.addr, link, gossip, timeout));
     }
 
-    /// Returns what a peer has not been told yet.
+    /// Returns the message for a peer: unacknowledged tables and digests of the halls that it
+    /// holds.
     fn gossip_for(&self, host: &id::HostId, digests: &[digest::Digest]) -> peer::Gossip {
-        let told = self.peers.get(host).map(|peer_state| &peer_state.told);
-        let fresh = |table: &&endpoints::Table| {
-            let known = told.and_then(|told| told.get(&table.hall));
+        let acked = self.peers.get(host).map(|peer_state| &peer_state.acked);
+        let unacked = |table: &&endpoints::Table| {
+            let known = acked.and_then(|acked| acked.get(&table.hall));
             known != Some(&(table.epoch, table.version))
         };
-        let theirs = |digest: &&digest::Digest| self.holders.get(&digest.hall) == Some(host);
+        let held_by_peer = |digest: &&digest::Digest| self.holders.get(&digest.hall) == Some(host);
         peer::Gossip {
             revision: self.revision,
-            tables: self.tables.values().filter(fresh).cloned().collect(),
-            digests: digests.iter().filter(theirs).cloned().collect(),
+            tables: self.tables.values().filter(unacked).cloned().collect(),
+            digests: digests.iter().filter(held_by_peer).cloned().collect(),
         }
     }
 
-    /// Takes a peer's answer, or notes that none came.
-    fn heard(
+    /// Handles a peer's reply; `None` means that there was none.
+    fn handle_reply(
         &mut self,
         host: &id::HostId,
-        heard: Option<peer::GossipReply>,
+        reply: Option<peer::GossipReply>,
     ) -> Result<(), ractor::ActorProcessingErr> {
         let Some(peer_state) = self.peers.get_mut(host) else {
             return Ok(());
         };
-        peer_state.busy = false;
-        let telling = std::mem::take(&mut peer_state.telling);
-        match heard {
-            Some(heard) => {
-                peer_state.told.extend(telling);
-                if heard.revision > self.revision {
-                    self.root.cast(msg::Msg::Nudged(heard.revision))?;
+        peer_state.awaiting_reply = false;
+        let in_message = std::mem::take(&mut peer_state.in_message);
+        match reply {
+            Some(reply) => {
+                peer_state.acked.extend(in_message);
+                if reply.revision > self.revision {
+                    self.root.cast(msg::Msg::RevisionAnnounced(reply.revision))?;
                 }
             }
             None => {
-                // A peer that was away may be a new process that knows nothing.
-                peer_state.client = None;
-                peer_state.told.clear();
+                // The peer may have restarted without any state, so all tables are sent again.
+                peer_state.link = None;
+                peer_state.acked.clear();
             }
         }
         Ok(())
@@ -238,43 +244,43 @@
 }
 
 impl PeerState {
-    /// Makes a peer not talked to yet.
+    /// Creates the state of a peer that has not been contacted.
     fn new(addr: net::SocketAddr) -> Self {
         Self {
             addr,
-            client: None,
-            busy: false,
-            told: collections::BTreeMap::new(),
-            telling: collections::BTreeMap::new(),
+            link: None,
+            awaiting_reply: false,
+            acked: collections::BTreeMap::new(),
+            in_message: collections::BTreeMap::new(),
         }
     }
 }
 
-/// Tells one peer, over a new connection where there is none.
-async fn tell(
+/// Sends one message to a peer, over a new connection if there is none to reuse.
+async fn send(
     myself: ractor::ActorRef<Msg>,
     host: id::HostId,
     addr: net::SocketAddr,
-    client: Option<peer::Link>,
+    link: Option<peer::Link>,
     gossip: peer::Gossip,
     timeout: time::Duration,
 ) {
-    let kept = client.is_some();
-    let link = match client {
+    let reused = link.is_some();
+    let link = match link {
         Some(link) => Some(link),
         None => peer::Link::connect(addr, timeout).await.ok(),
     };
-    let heard = match &link {
+    let reply = match &link {
         Some(link) => link.gossip(gossip, timeout).await.ok(),
         None => None,
     };
-    let told = match (heard, link) {
-        (Some(heard), Some(link)) => {
+    let result = match (reply, link) {
+        (Some(reply), Some(link)) => {
             let _ = myself.cast(Msg::Connected(host.clone(), link));
-            Msg::Heard(host, Some(heard))
+            Msg::Replied(host, Some(reply))
         }
-        _ if kept => Msg::Silent(host),
-        _ => Msg::Heard(host, None),
+        _ if reused => Msg::NoReply(host),
+        _ => Msg::Replied(host, None),
     };
-    let _ = myself.cast(told);
+    let _ = myself.cast(result);
 }
--- a/crates/daemon/src/control/hall.rs
+++ b/crates/daemon/src/control/hall.rs
@@ -1,4 +1,5 @@
-//! Runs the engine of one hall: carries out its effects and brings back what comes of them.
+//! The actor of one hall: runs the hall's engine, executes its effects and feeds the results back
+//! as events.
 
 use std::net;
 
@@ -8,17 +9,17 @@
 use super::Shared;
 use super::msg;
 
-/// How often an engine is asked what is due.
+/// Interval at which an engine checks for work that is due.
 const TICK: std::time::Duration = std::time::Duration::from_millis(100);
 
-/// What the actor of a hall is told.
+/// Messages to the actor of a hall.
 #[derive(Debug)]
 pub enum Msg {
-    /// Something happened to the engine.
+    /// An event for the engine.
     Event(Box<hall::Event>),
-    /// The state is asked for.
+    /// Request for a dump of the engine's state.
     Dump(ractor::RpcReplyPort<serde_json::Value>),
-    /// Digests came from hosts.
+    /// A host's statistics about the endpoints of this hall.
     Digest(digest::Digest),
 }
 
@@ -26,31 +27,31 @@
 #[derive(Debug)]
 pub struct Hall;
 
-/// What the actor knows.
+/// State of the actor.
 #[derive(Debug)]
 pub struct State {
-    /// What all actors share.
+    /// State that all actors share.
     shared: Shared,
-    /// The root actor.
+    /// The root actor, which receives tables and summaries.
     root: ractor::ActorRef<msg::Msg>,
-    /// The hall.
+    /// Hall that the actor runs.
     hall: id::HallId,
-    /// The engine.
+    /// State machine that holds or watches the hall's lease.
     engine: hall::Engine,
-    /// The table told last.
-    told: Option<(u64, u64)>,
-    /// The summary told last.
+    /// Epoch and version of the table last sent to the root; `None` before the first.
+    published_table: Option<(u64, u64)>,
+    /// Summary last sent to the root.
     summary: msg::HallSummary,
 }
 
-/// What the actor of a hall starts with.
+/// Arguments of the actor of a hall.
 #[derive(Debug)]
 pub struct Start {
-    /// What all actors share.
+    /// State that all actors share.
     pub shared: Shared,
     /// The root actor.
     pub root: ractor::ActorRef<msg::Msg>,
-    /// The hall.
+    /// Hall to run.
     pub hall: id::HallId,
 }
 
@@ -70,7 +71,7 @@
         let engine = hall::Engine::new(hall.clone(), host, settings, shared.nonce);
         myself.send_interval(TICK, || Msg::Event(Box::new(hall::Event::Tick)));
         let summary = msg::HallSummary::default();
-        Ok(State { shared, root, hall, engine, told: None, summary })
+        Ok(State { shared, root, hall, engine, published_table: None, summary })
     }
 
     async fn handle(
@@ -83,9 +84,9 @@
         match message {
             Msg::Event(event) => {
                 for effect in state.engine.step(now, *event) {
-                    carry_out(&myself, &state.shared, &state.hall, effect);
+                    run_effect(&myself, &state.shared, &state.hall, effect);
                 }
-                state.tell()?;
+                state.publish()?;
             }
             Msg::Digest(digest) => {
                 state.engine.step(now, hall::Event::Digest(digest));
@@ -100,12 +101,12 @@
 }
 
 impl State {
-    /// Tells the root what has changed.
-    fn tell(&mut self) -> Result<(), ractor::ActorProcessingErr> {
+    /// Sends the endpoint table and the summary to the root if they changed.
+    fn publish(&mut self) -> Result<(), ractor::ActorProcessingErr> {
         if let Some(table) = self.engine.table() {
-            let mark = Some((table.epoch, table.version));
-            if self.told != mark {
-                self.told = mark;
+            let table_version = Some((table.epoch, table.version));
+            if self.published_table != table_version {
+                self.published_table = table_version;
                 self.root.cast(msg::Msg::Table(table.clone()))?;
             }
         }
@@ -116,13 +117,13 @@
                 tracing::info!(hall = %self.hall, epoch, held, "hall lease");
             }
             self.summary = summary.clone();
-            self.gauges();
+            self.update_gauges();
             self.root.cast(msg::Msg::Summary(self.hall.clone(), summary))?;
         }
         Ok(())
     }
 
-    /// Returns the summary of the hall.
+    /// Returns the current summary of the hall.
     fn summarize(&self) -> msg::HallSummary {
         let holding = self.engine.holding();
         let head = holding.map(hall::Holding::head).or(self.engine.seen());
@@ -130,13 +131,13 @@
             holder: head.and_then(|head| head.holder.clone()),
             epoch: head.map_or(0, |head| head.epoch),
             held: holding.is_some(),
-            left: self.engine.is_watching(),
+            released: self.engine.is_watching(),
             tasks: holding.map(hall::Holding::task_counts).unwrap_or_default(),
         }
     }
 
-    /// Brings the gauges up to date.
-    fn gauges(&self) {
+    /// Updates the hall's gauges.
+    fn update_gauges(&self) {
         let metrics = &self.shared.metrics;
         let hall = self.hall.as_str();
         let set = |gauge: &prometheus::IntGaugeVec, value: u64| {
@@ -160,8 +161,8 @@
     }
 }
 
-/// Carries out one effect beside the actor and brings the result back as an event.
-fn carry_out(
+/// Executes one effect in a task of its own and feeds the result back as an event.
+fn run_effect(
     myself: &ractor::ActorRef<Msg>,
     shared: &Shared,
     hall: &id::HallId,
@@ -173,26 +174,26 @@
     tokio::spawn(async move {
         let event = match effect {
             hall::Effect::ReadHead => read_head(&shared, &hall).await,
-            hall::Effect::Load(snapshot) => load(&shared, &hall, snapshot).await,
+            hall::Effect::Load(snapshot) => load_state(&shared, &hall, snapshot).await,
             hall::Effect::Txn(txn) => {
                 let answer = shared.platform.transact(&txn).await;
                 shared.count_call("txn", &answer);
                 hall::Event::Txn(answer.ok())
             }
-            hall::Effect::Store(snapshot, text) => store(&shared, snapshot, text).await,
+            hall::Effect::Store(snapshot, text) => store_snapshot(&shared, snapshot, text).await,
             hall::Effect::Delete(snapshot) => {
-                // One that is left behind costs room and nothing else.
+                // A failed delete is ignored: the object that stays behind only takes up space.
                 let deleted = shared.platform.delete_object(&snapshot.key).await;
                 shared.count_call("delete", &deleted);
                 return;
             }
-            hall::Effect::Sync(addr, sync) => send(&shared, addr, &sync).await,
+            hall::Effect::Sync(addr, sync) => sync_worker(&shared, addr, &sync).await,
         };
         let _ = myself.cast(Msg::Event(Box::new(event)));
     });
 }
 
-/// Reads the head row.
+/// Reads the head row of a hall.
 async fn read_head(shared: &Shared, hall: &id::HallId) -> hall::Event {
     let rows = shared.platform.read(vec![hall::head_key(hall)]).await;
     shared.count_call("read", &rows);
@@ -202,13 +203,13 @@
     }
 }
 
-/// Reads a head row's version and value.
+/// Parses a head row into its version and value.
 fn parse_head(row: &platform::Row) -> Option<(u64, lease::Head)> {
     Some((row.version, serde_json::from_str(&row.value).ok()?))
 }
 
-/// Reads the snapshot and the log.
-async fn load(
+/// Reads a hall's snapshot and log.
+async fn load_state(
     shared: &Shared,
     hall: &id::HallId,
     snapshot: Option<lease::Snapshot>,
@@ -232,16 +233,16 @@
     }
 }
 
-/// Stores a snapshot; a failed store is told with a sequence of zero.
-async fn store(shared: &Shared, snapshot: lease::Snapshot, text: String) -> hall::Event {
+/// Stores a snapshot; a failure is reported with sequence number 0.
+async fn store_snapshot(shared: &Shared, snapshot: lease::Snapshot, text: String) -> hall::Event {
     let put = shared.platform.put_object(&snapshot.key, text).await;
     shared.count_call("put", &put);
     let seq = if put.is_ok() { snapshot.seq } else { 0 };
     hall::Event::Stored(lease::Snapshot { seq, ..snapshot })
 }
 
-/// Sends a message to a worker.
-async fn send(shared: &Shared, addr: net::SocketAddr, sync: &work::Sync) -> hall::Event {
+/// Sends a sync message to a worker.
+async fn sync_worker(shared: &Shared, addr: net::SocketAddr, sync: &work::Sync) -> hall::Event {
     let answer = shared.workers.sync(addr, sync).await.ok();
     hall::Event::Synced { worker: sync.worker.clone(), seq: sync.seq, answer }
 }
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control of a host: actors on one thread, with typed messages.
+//! The control plane of a host: actors on one thread that exchange typed messages.
 
 pub mod config;
 pub mod gossip;
@@ -17,22 +17,22 @@
 use crate::settings;
 use crate::traffic;
 
-/// What all actors share.
+/// State that all actors share.
 #[derive(Clone, Debug)]
 pub struct Shared {
-    /// The settings.
+    /// Settings of this host.
     pub settings: sync::Arc<settings::Settings>,
-    /// The clock.
+    /// Monotonic clock of the engines.
     pub clock: sync::Arc<dyn clock::Clock>,
-    /// The platform.
+    /// Client of the platform, which stores rows and objects.
     pub platform: platform::Platform,
-    /// The workers.
+    /// Client of the workers.
     pub workers: worker::Workers,
-    /// The traffic of this host.
+    /// Request path of this host, which receives snapshots of control state.
     pub traffic: sync::Arc<traffic::Traffic>,
-    /// The metrics.
+    /// Metrics of this host.
     pub metrics: metrics::Metrics,
-    /// The mark of this process.
+    /// Random number that identifies this process.
     pub nonce: u64,
 }
 
@@ -43,13 +43,13 @@
         &self.settings.host
     }
 
-    /// Returns a time from the control settings.
+    /// Returns a duration from the `control` table of the settings.
     #[must_use]
     pub fn time(&self, key: &'static str) -> time::Duration {
         self.settings.time("control", key)
     }
 
-    /// Counts a call of the platform and notes whether it answered.
+    /// Counts a call to the platform and records whether it was answered.
     pub fn count_call<T, E>(&self, call: &str, result: &Result<T, E>) {
         let label = if result.is_ok() { "ok" } else { "failed" };
         self.metrics.platform_calls.with_label_values(&[call, label]).inc();
--- a/crates/daemon/src/control/msg.rs
+++ b/crates/daemon/src/control/msg.rs
@@ -1,4 +1,4 @@
-//! What the root actor is told by the other actors of a host.
+//! Messages to the root actor.
 
 use std::collections;
 use std::sync;
@@ -7,59 +7,59 @@
 use wharflane_operator as operator;
 use wharflane_peer as peer;
 
-/// What is known of a hall at a glance.
+/// Summary of one hall as this host knows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HallSummary {
-    /// The host that holds it.
+    /// Host that holds the hall; `None` if no holder is known.
     pub holder: Option<id::HostId>,
-    /// The epoch of its lease.
+    /// Epoch of the hall's lease.
     pub epoch: u64,
-    /// Whether it is held here.
+    /// Whether this host holds the hall.
     pub held: bool,
-    /// Whether nothing of it is left to give up here.
-    pub left: bool,
-    /// The tasks by state, if it is held here.
+    /// Whether this host has nothing of the hall left to release.
+    pub released: bool,
+    /// Number of tasks by state; empty unless this host holds the hall.
     pub tasks: collections::BTreeMap<&'static str, usize>,
 }
 
-/// What the root is told.
+/// Messages to the root actor.
 #[derive(Debug)]
 pub enum Msg {
-    /// It is time to read the platform's list.
+    /// Poll timer: read the platform's member list.
     Poll,
-    /// The platform's list was read and is new, or nothing is known.
+    /// The member list was read; `None` if it is unchanged or the read failed.
     Members(Option<members::Members>),
-    /// The configuration's head row was read, or could not be.
-    HeadSeen(Option<u64>),
+    /// The head row of the configuration was read with this revision; `None` if the read failed.
+    HeadRead(Option<u64>),
     /// A configuration came into force.
     Config(Loaded),
-    /// A peer has a newer revision.
-    Nudged(u64),
-    /// The endpoints of a hall, from its holder here or elsewhere.
+    /// A peer reported a newer revision.
+    RevisionAnnounced(u64),
+    /// Endpoint table of a hall, from its holder on this or another host.
     Table(endpoints::Table),
-    /// A hall changed.
+    /// The summary of a hall changed.
     Summary(id::HallId, HallSummary),
-    /// What a host saw of a hall held here.
+    /// A host's statistics about the endpoints of a hall held by this host.
     Digest(digest::Digest),
-    /// A peer told news.
+    /// A gossip message from a peer.
     Gossip(peer::Gossip),
-    /// A peer handed over what it knows.
+    /// A peer's configuration and tables, as answer to a handover call.
     Handover(peer::Handover),
     /// This host is about to stop.
     Leave,
-    /// Whether every hall has been given up is asked for.
-    Left(ractor::RpcReplyPort<bool>),
-    /// The summary is asked for.
+    /// Request for whether every hall is released.
+    IsReleased(ractor::RpcReplyPort<bool>),
+    /// Request for the status shown to operators.
     Status(ractor::RpcReplyPort<operator::Status>),
-    /// The whole state is asked for.
+    /// Request for a dump of the whole state.
     Dump(ractor::RpcReplyPort<serde_json::Value>),
 }
 
-/// A configuration as it is stored and as it is acted on.
+/// A configuration in its stored and its parsed form.
 #[derive(Clone, Debug)]
 pub struct Loaded {
-    /// As it is stored.
+    /// Form that is stored and handed to peers.
     pub stored: sync::Arc<desired::Stored>,
-    /// As it is acted on.
+    /// Parsed form that the engines act on.
     pub current: sync::Arc<hall::Current>,
 }
--- a/crates/daemon/src/control/root.rs
+++ b/crates/daemon/src/control/root.rs
@@ -1,4 +1,7 @@
-//! The root of control: starts the other actors, and puts together what traffic reads.
+//! The root actor: starts the other actors, routes messages between them and publishes the snapshot
+//! that traffic reads.
+//!
+//! Older member lists and endpoint tables never replace newer ones.
 
 use std::collections;
 use std::net;
@@ -18,15 +21,15 @@
 use super::msg;
 use crate::traffic;
 
-/// How long an actor may take to tell its state.
+/// Longest time that the actor of a hall may take to return its dump.
 const DUMP_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// What peers may read at any time.
+/// State that handlers of peer calls may read outside the control thread.
 #[derive(Debug, Default)]
-pub struct Known {
-    /// The configuration in force.
+pub struct PeerView {
+    /// Configuration in force; `None` before the first.
     pub config: Option<msg::Loaded>,
-    /// The newest table of each hall.
+    /// Newest endpoint table of each hall.
     pub tables: collections::BTreeMap<id::HallId, endpoints::Table>,
 }
 
@@ -34,24 +37,24 @@
 #[derive(Debug)]
 pub struct Root;
 
-/// What the root knows.
+/// State of the root actor.
 #[derive(Debug)]
 pub struct State {
-    /// What all actors share.
+    /// State that all actors share.
     shared: Shared,
-    /// What peers may read.
-    known: sync::Arc<sync::Mutex<Known>>,
-    /// The actor of the configuration.
+    /// State that handlers of peer calls read.
+    view: sync::Arc<sync::Mutex<PeerView>>,
+    /// The configuration actor.
     config_actor: ractor::ActorRef<config::Msg>,
     /// The gossip actor.
     gossip: ractor::ActorRef<gossip::Msg>,
-    /// The actors of halls.
+    /// Actors of the halls that the configuration names.
     halls: collections::BTreeMap<id::HallId, ractor::ActorRef<hall_actor::Msg>>,
-    /// What is known of each hall.
+    /// Last summary of each hall.
     summaries: collections::BTreeMap<id::HallId, msg::HallSummary>,
-    /// The platform's list.
+    /// Newest member list of the platform.
     members: sync::Arc<members::Members>,
-    /// Whether the platform answered last.
+    /// Whether the last read of the configuration's head row was answered.
     platform_up: bool,
     /// Whether this host is about to stop.
     stopping: bool,
@@ -60,24 +63,24 @@
 impl Actor for Root {
     type Msg = msg::Msg;
     type State = State;
-    type Arguments = (Shared, sync::Arc<sync::Mutex<Known>>);
+    type Arguments = (Shared, sync::Arc<sync::Mutex<PeerView>>);
 
     async fn pre_start(
         &self,
         myself: ractor::ActorRef<msg::Msg>,
-        (shared, known): Self::Arguments,
+        (shared, view): Self::Arguments,
     ) -> Result<State, ractor::ActorProcessingErr> {
-        let link = (shared.clone(), myself.clone());
+        let args = (shared.clone(), myself.clone());
         let cell = myself.get_cell();
-        let (config_actor, _) = Actor::spawn_linked(None, config::ConfigActor, link, cell).await?;
-        let link = (shared.clone(), myself.clone());
+        let (config_actor, _) = Actor::spawn_linked(None, config::ConfigActor, args, cell).await?;
+        let args = (shared.clone(), myself.clone());
         let cell = myself.get_cell();
-        let (gossip, _) = Actor::spawn_linked(None, gossip::Gossip, link, cell).await?;
+        let (gossip, _) = Actor::spawn_linked(None, gossip::Gossip, args, cell).await?;
         myself.cast(msg::Msg::Poll)?;
         myself.send_interval(shared.time("poll_ms"), || msg::Msg::Poll);
         let state = State {
             shared,
-            known,
+            view,
             config_actor,
             gossip,
             halls: collections::BTreeMap::new(),
@@ -100,23 +103,23 @@
             msg::Msg::Poll => read_members(&myself, state.shared.clone(), state.members.version),
             msg::Msg::Members(None) => {}
             msg::Msg::Members(Some(members)) => state.set_members(members)?,
-            msg::Msg::HeadSeen(revision) => state.head_seen(&myself, revision),
+            msg::Msg::HeadRead(revision) => state.note_platform_up(&myself, revision),
             msg::Msg::Config(loaded) => state.set_config(&myself, loaded).await?,
-            msg::Msg::Nudged(revision) => {
-                state.config_actor.cast(config::Msg::Nudged(revision))?;
+            msg::Msg::RevisionAnnounced(revision) => {
+                state.config_actor.cast(config::Msg::RevisionAnnounced(revision))?;
                 if !state.platform_up {
-                    state.ask_peers(&myself);
+                    state.request_handovers(&myself);
                 }
             }
             msg::Msg::Table(table) => state.set_table(table)?,
             msg::Msg::Summary(hall, summary) => state.set_summary(hall, summary)?,
-            msg::Msg::Digest(digest) => state.pass_digest(digest)?,
-            msg::Msg::Gossip(gossip) => state.hear(&myself, gossip)?,
-            msg::Msg::Handover(handover) => state.take_over(handover)?,
+            msg::Msg::Digest(digest) => state.forward_digest(digest)?,
+            msg::Msg::Gossip(gossip) => state.handle_gossip(&myself, gossip)?,
+            msg::Msg::Handover(handover) => state.apply_handover(handover)?,
             msg::Msg::Leave => state.leave()?,
-            msg::Msg::Left(port) => {
-                let left = state.summaries.values().all(|summary| !summary.held);
-                let _ = port.send(left);
+            msg::Msg::IsReleased(port) => {
+                let released = state.summaries.values().all(|summary| !summary.held);
+                let _ = port.send(released);
             }
             msg::Msg::Status(port) => drop(port.send(state.status())),
             msg::Msg::Dump(port) => state.dump(port),
@@ -126,7 +129,7 @@
 }
 
 impl State {
-    /// Takes the platform's list unless it is older than the one known.
+    /// Replaces the member list if the new one is newer.
     fn set_members(&mut self, members: members::Members) -> Result<(), ractor::ActorProcessingErr> {
         if members.version <= self.members.version {
             return Ok(());
@@ -141,7 +144,7 @@
         Ok(())
     }
 
-    /// Tells the gossip actor who the peers are.
+    /// Sends the addresses of the peers to the gossip actor.
     fn set_peers(&self) -> Result<(), ractor::ActorProcessingErr> {
         let own = self.shared.settings.peer_addr;
         let mut peers: collections::BTreeMap<id::HostId, net::SocketAddr> = self
@@ -159,20 +162,21 @@
         Ok(())
     }
 
-    /// Notes whether the platform answers; a host without a configuration then asks its peers.
-    fn head_seen(&mut self, myself: &ractor::ActorRef<msg::Msg>, revision: Option<u64>) {
+    /// Records whether the platform answers; a host without a configuration asks its peers while it
+    /// does not.
+    fn note_platform_up(&mut self, myself: &ractor::ActorRef<msg::Msg>, revision: Option<u64>) {
         let up = revision.is_some();
         if up != self.platform_up {
             tracing::info!(up, "platform");
         }
         self.platform_up = up;
         if !up && self.revision() == 0 {
-            self.ask_peers(myself);
+            self.request_handovers(myself);
         }
     }
 
-    /// Asks every peer for what it knows.
-    fn ask_peers(&self, myself: &ractor::ActorRef<msg::Msg>) {
+    /// Asks every peer for its configuration and tables.
+    fn request_handovers(&self, myself: &ractor::ActorRef<msg::Msg>) {
         let timeout = self.shared.time("gossip_ms") * 2;
         let listed = self.members.hosts.values().map(|member| member.peer_addr);
         let seeds = self.shared.settings.seed_peers.iter().copied();
@@ -182,7 +186,7 @@
         for addr in addrs {
             let myself = myself.clone();
             tokio::spawn(async move {
-                // A connection of its own: one that was open before may be silent.
+                // A new connection each time: an existing one may have gone silent.
                 if let Ok(link) = peer::Link::connect(addr, timeout).await
                     && let Ok(handover) = link.handover(timeout).await
                 {
@@ -192,15 +196,18 @@
         }
     }
 
-    /// Takes what a peer handed over.
-    fn take_over(&mut self, handover: peer::Handover) -> Result<(), ractor::ActorProcessingErr> {
+    /// Applies the configuration and tables that a peer handed over.
+    fn apply_handover(
+        &mut self,
+        handover: peer::Handover,
+    ) -> Result<(), ractor::ActorProcessingErr> {
         if let Some(stored) = handover.config {
-            self.config_actor.cast(config::Msg::Offered(Box::new(stored)))?;
+            self.config_actor.cast(config::Msg::Fetched(Box::new(stored)))?;
         }
         handover.tables.into_iter().try_for_each(|table| self.set_table(table))
     }
 
-    /// Takes a configuration: starts the actors of new halls and tells all.
+    /// Distributes a new configuration and starts the actors of new halls.
     async fn set_config(
         &mut self,
         myself: &ractor::ActorRef<msg::Msg>,
@@ -245,7 +252,7 @@
         Ok(())
     }
 
-    /// Takes a table unless it is older than the one known.
+    /// Replaces a hall's table if the new one is newer.
     fn set_table(&mut self, table: endpoints::Table) -> Result<(), ractor::ActorProcessingErr> {
         let newer = self.lock().tables.get(&table.hall).is_none_or(|old| table.newer_than(old));
         if !newer {
@@ -263,19 +270,20 @@
         Ok(())
     }
 
-    /// Takes the summary of a hall.
+    /// Records the summary of a hall and passes changes of its holder to the gossip actor.
     fn set_summary(
         &mut self,
         hall: id::HallId,
         summary: msg::HallSummary,
     ) -> Result<(), ractor::ActorProcessingErr> {
         let before = self.summaries.get(&hall);
-        let same = before.is_some_and(|old| (old.held, old.epoch) == (summary.held, summary.epoch));
-        if !same || before.is_some_and(|old| old.holder != summary.holder) {
+        let unchanged =
+            before.is_some_and(|old| (old.held, old.epoch) == (summary.held, summary.epoch));
+        if !unchanged || before.is_some_and(|old| old.holder != summary.holder) {
             self.gossip.cast(gossip::Msg::Holder(hall.clone(), summary.holder.clone()))?;
         }
-        if summary.held && !same {
-            // A table made before the summary came is told now.
+        if summary.held && !unchanged {
+            // A table that arrived before the summary was not sent to peers yet.
             let table = self.lock().tables.get(&hall).cloned();
             if let Some(table) = table.filter(|table| table.epoch == summary.epoch) {
                 self.gossip.cast(gossip::Msg::Table(table))?;
@@ -285,30 +293,30 @@
         Ok(())
     }
 
-    /// Passes a digest on to the actor of its hall.
-    fn pass_digest(&self, digest: digest::Digest) -> Result<(), ractor::ActorProcessingErr> {
+    /// Forwards a digest to the actor of its hall.
+    fn forward_digest(&self, digest: digest::Digest) -> Result<(), ractor::ActorProcessingErr> {
         if let Some(actor) = self.halls.get(&digest.hall) {
             actor.cast(hall_actor::Msg::Digest(digest))?;
         }
         Ok(())
     }
 
-    /// Takes a peer's news.
-    fn hear(
+    /// Handles a gossip message from a peer.
+    fn handle_gossip(
         &mut self,
         myself: &ractor::ActorRef<msg::Msg>,
         gossip: peer::Gossip,
     ) -> Result<(), ractor::ActorProcessingErr> {
         if gossip.revision > self.revision() {
-            myself.cast(msg::Msg::Nudged(gossip.revision))?;
+            myself.cast(msg::Msg::RevisionAnnounced(gossip.revision))?;
         }
         for table in gossip.tables {
             self.set_table(table)?;
         }
-        gossip.digests.into_iter().try_for_each(|digest| self.pass_digest(digest))
+        gossip.digests.into_iter().try_for_each(|digest| self.forward_digest(digest))
     }
 
-    /// Gives up every hall.
+    /// Tells every hall's actor to release its hall.
     fn leave(&mut self) -> Result<(), ractor::ActorProcessingErr> {
         self.stopping = true;
         for actor in self.halls.values() {
@@ -317,10 +325,10 @@
         Ok(())
     }
 
-    /// Puts together what traffic reads, and swaps it in whole.
+    /// Builds the snapshot that traffic reads and swaps it in as a whole.
     fn publish(&self) {
-        let known = self.lock();
-        let Some(loaded) = &known.config else {
+        let view = self.lock();
+        let Some(loaded) = &view.config else {
             return;
         };
         let desired = &loaded.current.desired;
@@ -330,10 +338,10 @@
         };
         let mut endpoints: collections::BTreeMap<id::ServiceId, Vec<_>> =
             collections::BTreeMap::new();
-        for table in known.tables.values() {
+        for table in view.tables.values() {
             for endpoint in &table.endpoints {
                 let mut endpoint = endpoint.clone();
-                // The list says so even while the hall has no holder.
+                // The member list shows leaving workers even while the hall has no holder.
                 endpoint.leaving |= leaving(&endpoint.worker);
                 let service = endpoint.service.clone();
                 endpoints.entry(service).or_default().push((table.hall.clone(), endpoint));
@@ -349,34 +357,34 @@
         });
     }
 
-    /// Returns the number of entry hosts that take requests.
+    /// Returns the number of entry hosts that accept requests, at least 1.
     fn live_hosts(&self) -> usize {
         let live = |host: &&members::Host| host.presence == members::Presence::Live;
         self.members.hosts.values().filter(live).count().max(1)
     }
 
-    /// Returns the revision in force here.
+    /// Returns the revision in force on this host; 0 if there is none.
     fn revision(&self) -> u64 {
         self.lock().config.as_ref().map_or(0, |loaded| loaded.current.revision)
     }
 
-    /// Returns the summary for operators.
+    /// Returns the status shown to operators.
     fn status(&self) -> operator::Status {
-        let known = self.lock();
+        let view = self.lock();
         let mut status = operator::Status {
             host: self.shared.host().to_string(),
-            revision: known.config.as_ref().map_or(0, |loaded| loaded.current.revision),
+            revision: view.config.as_ref().map_or(0, |loaded| loaded.current.revision),
             platform_up: self.platform_up,
             stopping: self.stopping,
             ..operator::Status::default()
         };
-        let services = known.config.iter().flat_map(|loaded| &loaded.current.desired.services);
+        let services = view.config.iter().flat_map(|loaded| &loaded.current.desired.services);
         for (name, service) in services {
             let wanted = service.count;
             let summary = operator::ServiceStatus { wanted, ..operator::ServiceStatus::default() };
             status.services.insert(name.to_string(), summary);
         }
-        for endpoint in known.tables.values().flat_map(|table| &table.endpoints) {
+        for endpoint in view.tables.values().flat_map(|table| &table.endpoints) {
             let service = status.services.entry(endpoint.service.to_string()).or_default();
             service.endpoints += usize::from(!endpoint.leaving);
             service.leaving += usize::from(endpoint.leaving);
@@ -391,7 +399,7 @@
         status
     }
 
-    /// Gathers the whole state beside the actor.
+    /// Collects a dump of the whole state in a task of its own.
     fn dump(&self, port: ractor::RpcReplyPort<serde_json::Value>) {
         let status = serde_json::to_value(self.status()).unwrap_or_default();
         let balancers = serde_json::to_value(self.shared.traffic.dump()).unwrap_or_default();
@@ -410,13 +418,13 @@
         });
     }
 
-    /// Locks what peers may read.
-    fn lock(&self) -> sync::MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(sync::PoisonError::into_inner)
+    /// Locks the state that handlers of peer calls read.
+    fn lock(&self) -> sync::MutexGuard<'_, PeerView> {
+        self.view.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 }
 
-/// Reads the platform's list beside the actor.
+/// Reads the platform's member list in a task of its own.
 fn read_members(myself: &ractor::ActorRef<msg::Msg>, shared: Shared, known: u64) {
     let myself = myself.clone();
     tokio::spawn(async move {
--- a/crates/daemon/src/host.rs
+++ b/crates/daemon/src/host.rs
@@ -1,4 +1,8 @@
-//! Runs an entry host: opens its ports, carries traffic, and stops without cutting a request.
+//! Runs an entry host: opens its ports, starts control and traffic, and shuts down without cutting
+//! requests.
+//!
+//! At a stop, the host first reports itself as not ready and releases its halls; requests in flight
+//! get a grace period to complete.
 
 use std::io;
 use std::net;
@@ -24,39 +28,39 @@
 use crate::settings;
 use crate::traffic;
 
-/// How long an answer to an operator may take.
+/// Longest time that the root actor may take to answer an operator's call.
 const OPERATOR_TIMEOUT: time::Duration = time::Duration::from_secs(10);
-/// How long the halls may take to be given up at a stop.
-const LEAVE_TIMEOUT: time::Duration = time::Duration::from_secs(5);
-/// How often waiting requests are looked at for places that time has made free.
-const QUEUE_TICK: time::Duration = time::Duration::from_millis(20);
-/// The least time between looks at a stop's progress.
-const STOP_TICK: time::Duration = time::Duration::from_millis(50);
+/// Longest time to wait at a stop until all halls are released.
+const RELEASE_TIMEOUT: time::Duration = time::Duration::from_secs(5);
+/// Interval at which queued requests are checked for endpoints that became free by time alone.
+const QUEUE_POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
+/// Interval between checks of whether all halls are released at a stop.
+const STOP_POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
-/// Why a host could not run.
+/// Why a host can't run.
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
-    /// A port could not be opened.
+    /// A port can't be opened.
     #[error("can't listen on {addr}")]
     Listen {
-        /// The address.
+        /// The address that was to be bound.
         addr: net::SocketAddr,
-        /// The reason.
+        /// The error of the operating system.
         #[source]
         source: io::Error,
     },
-    /// A thread could not be started.
+    /// The runtime of a thread can't be set up.
     #[error("can't start a thread")]
     Thread(#[source] io::Error),
-    /// Control could not be started.
+    /// The root actor or one that it starts failed to start.
     #[error("can't start control")]
     Control(#[from] ractor::SpawnErr),
-    /// The metrics could not be made.
+    /// The metrics can't be registered.
     #[error(transparent)]
     Metrics(#[from] metrics::MetricError),
 }
 
-/// Runs a host until `stop` ends; the calling thread carries control.
+/// Runs a host until `stop` completes; control runs on the calling thread.
 ///
 /// # Errors
 /// Returns `HostError` where a port can't be opened or a thread can't be started.
@@ -74,11 +78,11 @@
     let operators = listen(settings.operator_addr).await?;
     let peers = listen(settings.peer_addr).await?;
     let settings = sync::Arc::new(settings);
-    let shared = share(&settings, platform_addr)?;
-    let known = sync::Arc::<sync::Mutex<root::Known>>::default();
-    let link = (shared.clone(), sync::Arc::clone(&known));
-    let (root, _) = Actor::spawn(None, root::Root, link).await?;
-    tokio::spawn(peer::serve(peers, peer::IDLE_TIMEOUT, answers(&root, &known)));
+    let shared = build_shared(&settings, platform_addr)?;
+    let view = sync::Arc::<sync::Mutex<root::PeerView>>::default();
+    let args = (shared.clone(), sync::Arc::clone(&view));
+    let (root, _) = Actor::spawn(None, root::Root, args).await?;
+    tokio::spawn(peer::serve(peers, peer::IDLE_TIMEOUT, peer_answers(&root, &view)));
     let api =
         OperatorApi { shared: shared.clone(), root: root.clone(), drain: sync::Arc::default() };
     let drain = sync::Arc::clone(&api.drain);
@@ -94,22 +98,22 @@
         () = stop => {}
         () = drain.notified() => {}
     }
-    wind_down(&settings, &root, threads).await;
+    shut_down(&settings, &root, threads).await;
     tracing::info!(host = %settings.host, "host down");
     Ok(())
 }
 
-/// The traffic threads and how they are told to stop.
+/// The traffic threads and the channels that shut them down.
 struct TrafficThreads {
-    /// The threads.
+    /// The runtime that serves requests.
     runtime: runtime::Runtime,
-    /// Ends the acceptance of requests.
+    /// Makes the server stop accepting requests.
     stop: tokio::sync::oneshot::Sender<()>,
-    /// Ends when every request has ended.
+    /// Completes once every request has ended.
     done: tokio::sync::oneshot::Receiver<()>,
 }
 
-/// Starts the threads that carry requests.
+/// Starts the threads that serve requests.
 fn start_traffic(
     settings: &settings::Settings,
     shared: &control::Shared,
@@ -132,13 +136,13 @@
     let (ended, done) = tokio::sync::oneshot::channel();
     let traffic = sync::Arc::clone(&shared.traffic);
     let listen = callers.into_std().map_err(HostError::Thread)?;
-    runtime.spawn(tick(sync::Arc::clone(&traffic)));
+    runtime.spawn(tick_queues(sync::Arc::clone(&traffic)));
     runtime.spawn(async move {
         let Ok(callers) = tokio::net::TcpListener::from_std(listen) else {
             return;
         };
         let stopped = async move {
-            // A dropped sender stops the server too.
+            // A dropped sender stops the server as well.
             drop(stopped.await);
         };
         let handle = move |request| sync::Arc::clone(&traffic).serve(request);
@@ -148,17 +152,17 @@
     Ok(TrafficThreads { runtime, stop, done })
 }
 
-/// Wakes waiting requests from time to time.
-async fn tick(traffic: sync::Arc<traffic::Traffic>) {
-    let mut interval = tokio::time::interval(QUEUE_TICK);
+/// Grants queued requests at an interval.
+async fn tick_queues(traffic: sync::Arc<traffic::Traffic>) {
+    let mut interval = tokio::time::interval(QUEUE_POLL_INTERVAL);
     loop {
         interval.tick().await;
         traffic.tick();
     }
 }
 
-/// Stops: tells the balancer, gives up the halls, and waits for the requests under way.
-async fn wind_down(
+/// Shuts down: reports not ready, releases the halls and waits for requests in flight.
+async fn shut_down(
     settings: &settings::Settings,
     root: &ractor::ActorRef<msg::Msg>,
     threads: TrafficThreads,
@@ -169,33 +173,33 @@
     let _ = threads.stop.send(());
     let grace = settings.time("traffic", "stop_grace_ms");
     if tokio::time::timeout(grace, threads.done).await.is_err() {
-        tracing::warn!("requests cut at the end of the grace");
+        tracing::warn!("requests cut at the end of the grace period");
     }
-    let gone = async {
-        while !left(root).await {
-            tokio::time::sleep(STOP_TICK).await;
+    let released = async {
+        while !all_halls_released(root).await {
+            tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
     };
-    if tokio::time::timeout(LEAVE_TIMEOUT, gone).await.is_err() {
-        tracing::warn!("halls not given up in time");
+    if tokio::time::timeout(RELEASE_TIMEOUT, released).await.is_err() {
+        tracing::warn!("halls not released in time");
     }
     threads.runtime.shutdown_background();
 }
 
-/// Returns whether every hall has been given up.
-async fn left(root: &ractor::ActorRef<msg::Msg>) -> bool {
-    let asked = root.call(msg::Msg::Left, Some(OPERATOR_TIMEOUT)).await;
-    matches!(asked, Ok(ractor::rpc::CallResult::Success(true)))
+/// Returns whether every hall is released.
+async fn all_halls_released(root: &ractor::ActorRef<msg::Msg>) -> bool {
+    let response = root.call(msg::Msg::IsReleased, Some(OPERATOR_TIMEOUT)).await;
+    matches!(response, Ok(ractor::rpc::CallResult::Success(true)))
 }
 
-/// Opens a port.
+/// Binds a TCP listener.
 pub(crate) async fn listen(addr: net::SocketAddr) -> Result<tokio::net::TcpListener, HostError> {
     let bound = tokio::net::TcpListener::bind(addr).await;
     bound.map_err(|source| HostError::Listen { addr, source })
 }
 
-/// Makes what all actors share.
-fn share(
+/// Builds the state that all actors share.
+fn build_shared(
     settings: &sync::Arc<settings::Settings>,
     platform_addr: net::SocketAddr,
 ) -> Result<control::Shared, HostError> {
@@ -214,56 +218,56 @@
     })
 }
 
-/// Makes the answers to peers.
-fn answers(
+/// Builds the handlers for calls from peers.
+fn peer_answers(
     root: &ractor::ActorRef<msg::Msg>,
-    known: &sync::Arc<sync::Mutex<root::Known>>,
+    view: &sync::Arc<sync::Mutex<root::PeerView>>,
 ) -> peer::Handlers {
     let root = root.clone();
-    let heard = sync::Arc::clone(known);
-    let asked = sync::Arc::clone(known);
+    let gossip_view = sync::Arc::clone(view);
+    let handover_view = sync::Arc::clone(view);
     let gossip = move |gossip: peer::Gossip| {
         let _ = root.cast(msg::Msg::Gossip(gossip));
-        let known = heard.lock().unwrap_or_else(sync::PoisonError::into_inner);
-        let revision = known.config.as_ref().map_or(0, |loaded| loaded.current.revision);
+        let view = gossip_view.lock().unwrap_or_else(sync::PoisonError::into_inner);
+        let revision = view.config.as_ref().map_or(0, |loaded| loaded.current.revision);
         peer::GossipReply { revision }
     };
     let handover = move || {
-        let known = asked.lock().unwrap_or_else(sync::PoisonError::into_inner);
-        let config = known.config.as_ref().map(|loaded| (*loaded.stored).clone());
-        peer::Handover { config, tables: known.tables.values().cloned().collect() }
+        let view = handover_view.lock().unwrap_or_else(sync::PoisonError::into_inner);
+        let config = view.config.as_ref().map(|loaded| (*loaded.stored).clone());
+        peer::Handover { config, tables: view.tables.values().cloned().collect() }
     };
     peer::Handlers { gossip: sync::Arc::new(gossip), handover: sync::Arc::new(handover) }
 }
 
-/// Answers operators.
+/// Serves the operators' HTTP interface.
 #[derive(Clone, Debug)]
 struct OperatorApi {
-    /// What all actors share.
+    /// State that all actors share.
     shared: control::Shared,
-    /// The root actor.
+    /// The root actor, which answers status and dump calls.
     root: ractor::ActorRef<msg::Msg>,
-    /// Told when an operator asks the host to stop.
+    /// Notified when an operator asks the host to stop.
     drain: sync::Arc<tokio::sync::Notify>,
 }
 
 impl OperatorApi {
-    /// Answers one request.
+    /// Routes one request by method and path.
     async fn serve(self, request: hyper::Request<body::Incoming>) -> reply::Reply {
         let path = request.uri().path().to_owned();
         match (request.method(), path.as_str()) {
             (&Method::POST, "/apply") => self.apply(request.into_body()).await,
             (&Method::GET, "/status") => match self.status().await {
                 Some(status) => reply::json(StatusCode::OK, &status),
-                None => busy(),
+                None => control_timed_out(),
             },
             (&Method::GET, "/dump") => {
-                let asked = self.root.call(msg::Msg::Dump, Some(OPERATOR_TIMEOUT)).await;
-                match asked {
+                let response = self.root.call(msg::Msg::Dump, Some(OPERATOR_TIMEOUT)).await;
+                match response {
                     Ok(ractor::rpc::CallResult::Success(dump)) => {
                         reply::json(StatusCode::OK, &dump)
                     }
-                    _ => busy(),
+                    _ => control_timed_out(),
                 }
             }
             (&Method::GET, "/metrics") => reply::text(StatusCode::OK, self.shared.metrics.text()),
@@ -277,9 +281,9 @@
         }
     }
 
-    /// Takes a submission.
+    /// Applies a configuration submitted by an operator.
     async fn apply(&self, body: body::Incoming) -> reply::Reply {
-        // JSON may take six bytes for one of the text.
+        // JSON may escape one byte of the text as six.
         let limit = wharflane::desired::MAX_TEXT_BYTES * 6;
         let body = match server::read_body(body, limit, OPERATOR_TIMEOUT).await {
             Ok(body) => body,
@@ -290,25 +294,25 @@
         };
         let Ok(apply) = serde_json::from_slice::<operator::Apply>(&body) else {
             let status = StatusCode::BAD_REQUEST;
-            return reply::problem(status, "bad-request", "the body is no submission");
+            return reply::problem(status, "bad-request", "the body is not a valid submission");
         };
         let applied = config::apply(&self.shared, &apply).await;
         if let operator::Applied::Accepted { revision } = &applied {
-            let _ = self.root.cast(msg::Msg::Nudged(*revision));
+            let _ = self.root.cast(msg::Msg::RevisionAnnounced(*revision));
         }
         reply::json(StatusCode::OK, &applied)
     }
 
-    /// Returns the summary.
+    /// Asks the root actor for the status; `None` if it does not answer in time.
     async fn status(&self) -> Option<operator::Status> {
-        let asked = self.root.call(msg::Msg::Status, Some(OPERATOR_TIMEOUT)).await;
-        match asked {
+        let response = self.root.call(msg::Msg::Status, Some(OPERATOR_TIMEOUT)).await;
+        match response {
             Ok(ractor::rpc::CallResult::Success(status)) => Some(status),
             _ => None,
         }
     }
 
-    /// Tells the balancer whether this host takes requests.
+    /// Reports to the load balancer whether this host accepts requests.
     async fn ready(&self) -> reply::Reply {
         let status = self.status().await;
         let ready = status.is_some_and(|status| status.revision > 0 && !status.stopping);
@@ -320,7 +324,7 @@
     }
 }
 
-/// Returns the answer of a host whose control does not answer in time.
-fn busy() -> reply::Reply {
+/// Returns the response for a root actor that did not answer in time.
+fn control_timed_out() -> reply::Reply {
     reply::problem(StatusCode::SERVICE_UNAVAILABLE, "busy", "control did not answer in time")
 }
--- a/crates/daemon/src/jobs/entries.rs
+++ b/crates/daemon/src/jobs/entries.rs
@@ -1,4 +1,7 @@
-//! The entries of workers as they are read, with one line for each change of one that names no worker.
+//! Reads the entries of workers from the store's rows.
+//!
+//! Other programs write these rows. An entry that names no worker is skipped, and logged once per
+//! version of its row.
 
 use std::collections;
 use std::sync;
@@ -6,57 +9,58 @@
 use wharflane::{id, job, rows};
 use wharflane_adapter::{config, entry};
 
-/// The most entries whose last line is remembered; a store of another writer's rows must not fill the memory.
-const MOST_REMEMBERED: usize = 1_000;
+/// Largest number of invalid entries that are remembered, so that rows written by others can't
+/// exhaust the memory.
+const MAX_REMEMBERED: usize = 1_000;
 
-/// Reads entries.
+/// Parses worker entries and remembers the invalid ones.
 #[derive(Debug, Default)]
-pub struct Entries {
-    /// The versions of the entries that named no worker when they were read last, by key.
-    refused: sync::Mutex<collections::BTreeMap<String, u64>>,
+pub struct EntryReader {
+    /// Row version of each entry that was invalid when it was last read, by key.
+    invalid: sync::Mutex<collections::BTreeMap<String, u64>>,
 }
 
-impl Entries {
-    /// Returns the workers of a whole reading.
+impl EntryReader {
+    /// Returns the workers of a complete read of the table.
     pub fn list(&self, rows: &[rows::Row]) -> Vec<job::Member> {
         rows.iter().filter_map(|row| self.read(row)?.1).collect()
     }
 
-    /// Returns what a row says of a worker; nothing for a row that is not in the place of entries.
+    /// Returns the worker that a row names and its entry; `None` for a row of another part.
     ///
-    /// An entry that names no worker any more counts like one that is gone: the worker gets nothing new.
+    /// An entry that has become invalid counts as removed: the worker gets no further tasks.
     pub fn read(&self, row: &rows::Row) -> Option<(id::WorkerId, Option<job::Member>)> {
         if row.part != config::EXTERNAL_PART {
             return None;
         }
         let member = match entry::member(row) {
             Ok(member) => {
-                self.refused().remove(&row.name);
+                self.invalid().remove(&row.name);
                 member
             }
             Err(err) => {
-                self.tell(row, &err);
+                self.log_invalid(row, &err);
                 None
             }
         };
         Some((id::WorkerId::from(row.name.as_str()), member))
     }
 
-    /// Tells why an entry is passed over, once for each of its versions.
-    fn tell(&self, row: &rows::Row, err: &entry::BadEntry) {
-        let mut refused = self.refused();
-        if refused.get(&row.name) == Some(&row.version) {
+    /// Logs why an entry is skipped, once per version of its row.
+    fn log_invalid(&self, row: &rows::Row, err: &entry::BadEntry) {
+        let mut invalid = self.invalid();
+        if invalid.get(&row.name) == Some(&row.version) {
             return;
         }
-        if refused.len() >= MOST_REMEMBERED {
-            refused.clear();
+        if invalid.len() >= MAX_REMEMBERED {
+            invalid.clear();
         }
-        refused.insert(row.name.clone(), row.version);
+        invalid.insert(row.name.clone(), row.version);
         tracing::warn!(key = %row.name, version = row.version, %err, "an entry names no worker");
     }
 
-    /// Returns the entries that named no worker.
-    fn refused(&self) -> sync::MutexGuard<'_, collections::BTreeMap<String, u64>> {
-        self.refused.lock().unwrap_or_else(sync::PoisonError::into_inner)
+    /// Locks the versions of the invalid entries.
+    fn invalid(&self) -> sync::MutexGuard<'_, collections::BTreeMap<String, u64>> {
+        self.invalid.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 }
--- a/crates/daemon/src/jobs/halls.rs
+++ b/crates/daemon/src/jobs/halls.rs
@@ -1,4 +1,7 @@
-//! Which halls are closed, as a host reads and follows the operator's table, and what its own operators order.
+//! Tracks which halls the operator has closed, and carries out orders to close or open one.
+//!
+//! A hall is closed as long as its row stands in the operator's table; a hall without a row is
+//! open.
 
 use std::collections;
 use std::sync;
@@ -11,55 +14,56 @@
 use super::Shared;
 use super::holder;
 
-/// The halls that are closed, with when it was heard of, in seconds since 1970.
-pub type Since = collections::BTreeMap<id::HallId, u64>;
+/// Closed halls with the time at which this host learned of it, in seconds since 1970.
+pub type ClosedSince = collections::BTreeMap<id::HallId, u64>;
 
-/// How often a write is tried whose condition did not hold, since others wrote meanwhile.
-const TRIES: usize = 3;
+/// Attempts at a conditional write that fails because of concurrent writes.
+const MAX_ATTEMPTS: usize = 3;
 
-/// Tells the holder which halls are closed, with each answer of the store: the holder also learns by it how new that is.
+/// Passes the closed halls to the holder after each answer of the store, which also tells the
+/// holder how recent its knowledge is.
 #[derive(Debug)]
-pub struct Teller {
-    /// What the parts of the job service share.
+pub struct ClosedHallsFeed {
+    /// State that the parts of the job service share.
     shared: Shared,
-    /// The holder.
+    /// Actor that receives the closed halls.
     holder: ractor::ActorRef<holder::Msg>,
-    /// What was told last.
+    /// Closed halls as they were last passed on.
     closed: job::ClosedHalls,
 }
 
-impl Teller {
-    /// Makes a teller that has read nothing.
+impl ClosedHallsFeed {
+    /// Creates a feed that has read nothing.
     #[must_use]
     pub fn new(shared: Shared, holder: ractor::ActorRef<holder::Msg>) -> Self {
         Self { shared, holder, closed: job::ClosedHalls::default() }
     }
 
-    /// Tells what a reading of all rows says.
-    pub fn read(&mut self, page: &rows::Page) {
-        self.tell(read(page));
+    /// Passes on the closed halls of a complete read of the table.
+    pub fn publish_all(&mut self, page: &rows::Page) {
+        self.publish(read_all(page));
     }
 
-    /// Tells what follows from rows that have changed.
-    pub fn follow(&mut self, page: &rows::Page) {
-        self.tell(follow(&self.closed, page));
+    /// Passes on the closed halls after a page of changes.
+    pub fn publish_changes(&mut self, page: &rows::Page) {
+        self.publish(apply_changes(&self.closed, page));
     }
 
-    /// Tells which halls are closed, and shows since when.
-    fn tell(&mut self, closed: job::ClosedHalls) {
+    /// Sends the closed halls to the holder and updates the gauge if they changed.
+    fn publish(&mut self, closed: job::ClosedHalls) {
         if closed.halls != self.closed.halls {
-            self.show(&closed);
+            self.update_gauge(&closed);
         }
         self.closed = closed.clone();
-        holder::tell(&self.holder, job::Event::Closed(closed));
+        holder::send_event(&self.holder, job::Event::Closed(closed));
     }
 
-    /// Shows operators which halls are closed, each with the time of day at which it was heard of.
-    fn show(&self, closed: &job::ClosedHalls) {
+    /// Updates the gauge and the status that show operators since when each hall is closed.
+    fn update_gauge(&self, closed: &job::ClosedHalls) {
         let before = self.shared.closed.load();
         let now_s = super::wall_ms() / 1_000;
         let since = |hall: &id::HallId| (hall.clone(), before.get(hall).copied().unwrap_or(now_s));
-        let after: Since = closed.halls.iter().map(since).collect();
+        let after: ClosedSince = closed.halls.iter().map(since).collect();
         let gauge = &self.shared.metrics.hall_closed;
         gauge.reset();
         for (hall, since_s) in &after {
@@ -70,21 +74,22 @@
     }
 }
 
-/// Closes a hall by an operator's order, or opens it: done once its row stands, or is gone.
-pub async fn order(shared: &Shared, hall: &str, closes: bool) -> reply::Reply {
+/// Closes or opens a hall by an operator's order; answers with success once its row is written or
+/// removed.
+pub async fn set_closed(shared: &Shared, hall: &str, closes: bool) -> reply::Reply {
     if hall.is_empty() {
-        return reply::problem(StatusCode::BAD_REQUEST, "no-hall", "no hall is named");
+        return reply::problem(StatusCode::BAD_REQUEST, "no-hall", "the path names no hall");
     }
     let key = halls::key(&hall.into());
-    for _ in 0..TRIES {
-        match write(shared, &key, closes).await {
+    for _ in 0..MAX_ATTEMPTS {
+        match write_row(shared, &key, closes).await {
             Ok(true) => {
-                tracing::info!(hall, closes, "an operator's order about a hall stands");
+                tracing::info!(hall, closes, "operator's order for a hall is stored");
                 return reply::json(StatusCode::OK, &serde_json::json!({ "closed": closes }));
             }
             Ok(false) => {}
             Err(err) => {
-                tracing::warn!(hall, closes, %err, "an operator's order about a hall is in doubt");
+                tracing::warn!(hall, closes, %err, "operator's order for a hall: outcome unknown");
                 break;
             }
         }
@@ -92,12 +97,16 @@
     reply::problem(
         StatusCode::SERVICE_UNAVAILABLE,
         "store",
-        "the store gave no answer: nothing is known",
+        "the store did not answer: the outcome is unknown",
     )
 }
 
-/// Writes the row that closes a hall, or removes it; returns whether it is as wanted.
-async fn write(shared: &Shared, key: &rows::Key, closes: bool) -> Result<bool, store::StoreError> {
+/// Writes or removes the row that closes a hall; returns whether the table is as wanted.
+async fn write_row(
+    shared: &Shared,
+    key: &rows::Key,
+    closes: bool,
+) -> Result<bool, store::StoreError> {
     let row = shared.store.get(key).await;
     shared.count_call("get", &row);
     let row = row?;
@@ -114,25 +123,25 @@
     Ok(matches!(answer?, rows::Answer::Done { .. }))
 }
 
-/// Returns the halls that are closed by a reading of all rows: one without a row is open.
+/// Returns the closed halls of a complete read of the table; a hall without a row is open.
 #[must_use]
-pub fn read(page: &rows::Page) -> job::ClosedHalls {
-    follow(&job::ClosedHalls::default(), page)
+pub fn read_all(page: &rows::Page) -> job::ClosedHalls {
+    apply_changes(&job::ClosedHalls::default(), page)
 }
 
-/// Returns the halls that are closed once rows have changed.
+/// Returns the closed halls after a page of changes.
 #[must_use]
-pub fn follow(before: &job::ClosedHalls, page: &rows::Page) -> job::ClosedHalls {
+pub fn apply_changes(before: &job::ClosedHalls, page: &rows::Page) -> job::ClosedHalls {
     let mut closed = job::ClosedHalls { version: page.version, halls: before.halls.clone() };
     let named = |row: &rows::Row| Some((halls::closed_hall(row)?, row.gone));
     for (hall, gone) in page.rows.iter().filter_map(named) {
-        set(&mut closed, hall, gone);
+        set_hall(&mut closed, hall, gone);
     }
     closed
 }
 
-/// Notes whether a hall's row is gone.
-fn set(closed: &mut job::ClosedHalls, hall: id::HallId, gone: bool) {
+/// Adds a hall, or removes it if its row is gone.
+fn set_hall(closed: &mut job::ClosedHalls, hall: id::HallId, gone: bool) {
     if gone {
         closed.halls.remove(&hall);
     } else {
--- a/crates/daemon/src/jobs/holder.rs
+++ b/crates/daemon/src/jobs/holder.rs
@@ -1,4 +1,7 @@
-//! Runs the engine of a domain: carries out its effects and brings back what comes of them.
+//! The actor of a domain: runs the engine, executes its effects and feeds the results back as
+//! events.
+//!
+//! A host that has become too slow gives its domain up, so that another can take it.
 
 use std::sync;
 use std::sync::atomic;
@@ -15,56 +18,58 @@
 use super::watch;
 use crate::settings;
 
-/// How often the engine is asked what is due while this host holds the domain.
+/// Tick interval of the engine while this host holds the domain.
 const TICK_HOLDING: time::Duration = time::Duration::from_millis(20);
-/// How long a host may take to answer a connection; between halls it takes 2 ms.
+/// Time within which a host must accept a connection; between halls it takes 2 ms.
 const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(200);
-/// The bytes of a megabit.
+/// Bytes per second of a megabit per second.
 const BYTES_PER_MBIT: u64 = 125_000;
-/// How often it is asked while another host does.
-const TICK_WATCHING: time::Duration = time::Duration::from_millis(100);
+/// Tick interval of the engine while another host holds the domain.
+const TICK_STANDBY: time::Duration = time::Duration::from_millis(100);
 
-/// What the actor of a domain is told.
+/// Messages to the actor of a domain.
 #[derive(Debug)]
 pub enum Msg {
-    /// Time has passed.
+    /// Timer of the engine.
     Tick {
-        /// When it was due, by the clock.
+        /// Clock reading at which the tick was due.
         due: time::Duration,
     },
-    /// Something happened to the engine.
+    /// An event for the engine.
     Event(Box<job::Event>),
-    /// The state is asked for.
+    /// Request for a dump of the state that the holder keeps; null while this host is not the
+    /// holder.
     Dump(ractor::RpcReplyPort<serde_json::Value>),
-    /// Whether nothing of the domain is left to give up is asked for.
-    Left(ractor::RpcReplyPort<bool>),
+    /// Request for whether the domain is fully released.
+    IsReleased(ractor::RpcReplyPort<bool>),
 }
 
 /// The actor of a domain.
 #[derive(Debug)]
 pub struct Holder;
 
-/// What the actor knows.
+/// State of the actor.
 #[derive(Debug)]
 pub struct State {
-    /// What the parts of the job service share.
+    /// State that the parts of the job service share.
     shared: Shared,
-    /// The engine.
+    /// State machine that holds or watches the domain's lease.
     engine: job::Engine,
-    /// Reads the entries of workers.
-    entries: sync::Arc<entries::Entries>,
-    /// Numbers the holdings of this process; those who follow for one end with it.
+    /// Parses worker entries and remembers the invalid ones.
+    entries: sync::Arc<entries::EntryReader>,
+    /// Number of lease terms that ended in this process; followers started for an earlier term
+    /// stop.
     generation: sync::Arc<atomic::AtomicU64>,
-    /// How late ticks are taken.
+    /// Delay of ticks behind their due times.
     lag: lag::Lag,
-    /// Tells whether this host is slow while it holds the domain.
+    /// Detects whether this host is slow while it holds the domain.
     slowness: job::SlownessDetector,
 }
 
-/// Tells the actor of an event; one that has ended needs no news.
-pub fn tell(holder: &ractor::ActorRef<Msg>, event: job::Event) {
+/// Sends an event to the actor; an event for an actor that has ended is dropped.
+pub fn send_event(holder: &ractor::ActorRef<Msg>, event: job::Event) {
     if holder.cast(Msg::Event(Box::new(event))).is_err() {
-        tracing::debug!("event for a holder that has ended");
+        tracing::debug!("event dropped: the holder has ended");
     }
 }
 
@@ -99,11 +104,11 @@
     ) -> Result<(), ractor::ActorProcessingErr> {
         match message {
             Msg::Tick { due } => {
-                state.note_lag(due);
+                state.record_lag(due);
                 state.yield_if_slow(&myself, due);
                 state.step(&myself, job::Event::Tick { wall_ms: super::wall_ms() });
                 let holds = state.engine.holding().is_some();
-                let next = if holds { TICK_HOLDING } else { TICK_WATCHING };
+                let next = if holds { TICK_HOLDING } else { TICK_STANDBY };
                 let due = state.shared.clock.now() + next;
                 myself.send_after(next, move || Msg::Tick { due });
             }
@@ -114,12 +119,12 @@
             Msg::Dump(port) => {
                 let dump = state.engine.holding().map(job::Holding::dump);
                 if port.send(serde_json::to_value(dump)?).is_err() {
-                    tracing::debug!("nobody waits for the dump any more");
+                    tracing::debug!("the caller of the dump is gone");
                 }
             }
-            Msg::Left(port) => {
+            Msg::IsReleased(port) => {
                 if port.send(state.engine.left()).is_err() {
-                    tracing::debug!("nobody waits for the answer any more");
+                    tracing::debug!("the caller of the release check is gone");
                 }
             }
         }
@@ -128,15 +133,15 @@
 }
 
 impl State {
-    /// Notes how late a tick is taken.
-    fn note_lag(&mut self, due: time::Duration) {
+    /// Records the delay of a tick and logs it if a warning is due.
+    fn record_lag(&mut self, due: time::Duration) {
         let now = self.shared.clock.now();
         let lag = now.saturating_sub(due);
         let lag_ms = i64::try_from(lag.as_millis()).unwrap_or(i64::MAX);
         self.shared.metrics.holder_lag_ms.set(lag_ms);
-        if let Some(longest) = self.lag.note(due, now) {
+        if let Some(longest) = self.lag.record(due, now) {
             let holds = self.engine.holding().is_some();
-            let limit_ms = lag::MOST.as_millis();
+            let limit_ms = lag::WARN_THRESHOLD.as_millis();
             tracing::warn!(
                 lag_ms,
                 longest_ms = longest.as_millis(),
@@ -147,7 +152,7 @@
         }
     }
 
-    /// Gives the domain up where this host has become too slow for it.
+    /// Gives the domain up if this host has become too slow to hold it.
     fn yield_if_slow(&mut self, myself: &ractor::ActorRef<Msg>, due: time::Duration) {
         if self.engine.holding().is_none() {
             self.slowness = job::SlownessDetector::default();
@@ -160,12 +165,12 @@
         }
     }
 
-    /// Takes one event and carries out what follows.
+    /// Passes an event to the engine, executes the effects and updates the gauges.
     fn step(&mut self, myself: &ractor::ActorRef<Msg>, event: job::Event) {
         let held = !self.engine.left();
         let now = self.shared.clock.now();
         for effect in self.engine.step(now, event) {
-            self.carry_out(myself, effect);
+            self.run_effect(myself, effect);
         }
         if held && self.engine.left() {
             self.generation.fetch_add(1, atomic::Ordering::Relaxed);
@@ -179,24 +184,24 @@
         metrics.workers_restarted.set(i64::try_from(restarted).unwrap_or(i64::MAX));
     }
 
-    /// Carries out one effect beside the actor and brings the result back as an event.
-    fn carry_out(&self, myself: &ractor::ActorRef<Msg>, effect: job::Effect) {
+    /// Executes one effect in a task of its own and feeds the result back as an event.
+    fn run_effect(&self, myself: &ractor::ActorRef<Msg>, effect: job::Effect) {
         let myself = myself.clone();
         let shared = self.shared.clone();
         let domain = self.engine.domain();
-        let decided = decided::Decided::now(&shared.clock);
+        let decided = decided::DecisionTime::now(&shared.clock);
         match effect {
             job::Effect::ReadLease => drop(tokio::spawn(async move {
                 let event = read_lease(&shared, domain).await;
-                tell(&myself, event);
+                send_event(&myself, event);
             })),
             job::Effect::Probe { version, addr } => drop(tokio::spawn(async move {
                 let sign = probe(addr).await;
-                tell(&myself, job::Event::Probed { version, sign });
+                send_event(&myself, job::Event::Probed { version, sign });
             })),
             job::Effect::Load => {
-                let on = self.generation.load(atomic::Ordering::Relaxed);
-                let generation = (on, sync::Arc::clone(&self.generation));
+                let current = self.generation.load(atomic::Ordering::Relaxed);
+                let generation = (current, sync::Arc::clone(&self.generation));
                 let entries = sync::Arc::clone(&self.entries);
                 let follower = watch::Follower { shared, holder: myself, entries, generation };
                 drop(tokio::spawn(follower.load(domain)));
@@ -204,28 +209,28 @@
             job::Effect::Txn(number, txn) => drop(tokio::spawn(async move {
                 let answer = shared.store.transact(&txn).await;
                 shared.count_call("commit", &answer);
-                tell(&myself, job::Event::Txn { number, outcome: outcome(answer) });
+                send_event(&myself, job::Event::Txn { number, outcome: outcome(answer) });
             })),
             job::Effect::Drop(job, txn) => drop(tokio::spawn(async move {
                 let answer = shared.store.transact(&txn).await;
                 shared.count_call("drop", &answer);
                 let done = matches!(answer, Ok(rows::Answer::Done { .. }));
-                tell(&myself, job::Event::Dropped { job, done });
+                send_event(&myself, job::Event::Dropped { job, done });
             })),
             job::Effect::Start(start) => drop(tokio::spawn(async move {
-                let answer = match decided.may_be_sent("start") {
+                let answer = match decided.allows_sending("start") {
                     true => shared.workers.start(&start).await,
                     false => job::StartAnswer::Silent,
                 };
-                tell(&myself, job::Event::Started { order: start.order, answer });
+                send_event(&myself, job::Event::Started { order: start.order, answer });
             })),
             job::Effect::Stop(order) => drop(tokio::spawn(async move {
-                if !decided.may_be_sent("stop") || !shared.workers.stop(&order).await {
-                    tell(&myself, job::Event::StopNotTaken(order));
+                if !decided.allows_sending("stop") || !shared.workers.stop(&order).await {
+                    send_event(&myself, job::Event::StopNotTaken(order));
                 }
             })),
             job::Effect::Pace(pace) => drop(tokio::spawn(async move {
-                if decided.may_be_sent("pace") {
+                if decided.allows_sending("pace") {
                     shared.workers.pace(&pace).await;
                 }
             })),
@@ -234,21 +239,21 @@
                 if let Err(err) = &answer {
                     tracing::warn!(job = %question.job, step = question.step, %err, "no advice");
                 }
-                tell(&myself, job::Event::Advised { question, answer: answer.ok() });
+                send_event(&myself, job::Event::Advised { question, answer: answer.ok() });
             })),
             job::Effect::SendHeartbeat(heartbeat) => drop(tokio::spawn(async move {
-                let answer = match decided.may_be_sent("look") {
+                let answer = match decided.allows_sending("look") {
                     true => shared.workers.send_heartbeat(&heartbeat).await,
                     false => job::HeartbeatAnswer::Silent,
                 };
                 let (worker, epoch) = (heartbeat.worker, heartbeat.epoch);
-                tell(&myself, job::Event::HeartbeatAnswered { worker, epoch, answer });
+                send_event(&myself, job::Event::HeartbeatAnswered { worker, epoch, answer });
             })),
         }
     }
 }
 
-/// Returns what a host answers to a connection.
+/// Probes the port of a lease holder's host.
 async fn probe(addr: std::net::SocketAddr) -> job::ProbeResult {
     let connecting = tokio::net::TcpStream::connect(addr);
     match tokio::time::timeout(PROBE_TIMEOUT, connecting).await {
@@ -256,16 +261,17 @@
         Ok(Err(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => {
             job::ProbeResult::Refused
         }
-        // Other errors are this host's own, such as too few descriptors, and say nothing of the holder.
+        // Other errors are local, such as too few file descriptors, and say nothing about the
+        // holder.
         Ok(Err(err)) => {
-            tracing::warn!(%addr, %err, "the holder can't be looked for");
+            tracing::warn!(%addr, %err, "the holder can't be probed");
             job::ProbeResult::Listens
         }
         Err(_) => job::ProbeResult::Silent,
     }
 }
 
-/// Returns what is known of a transaction.
+/// Returns the outcome of a transaction as far as it is known.
 fn outcome(answer: Result<rows::Answer, store::StoreError>) -> rows::Outcome {
     match answer {
         Ok(answer) => rows::Outcome::Answered(answer),
@@ -274,7 +280,7 @@
     }
 }
 
-/// Reads the lease row.
+/// Reads the lease row of a domain.
 async fn read_lease(shared: &Shared, domain: u32) -> job::Event {
     let row = shared.store.get(&job::lease_key(domain)).await;
     shared.count_call("lease", &row);
@@ -295,7 +301,7 @@
     }
 }
 
-/// Returns whether this host can hold a domain with ease.
+/// Returns whether this host's CPU and link suffice to hold a domain without lagging.
 fn is_strong(settings: &settings::Settings) -> bool {
     let limits = &settings.limits;
     let jobs = |key| settings.number("jobs", key);
@@ -303,7 +309,7 @@
         && limits.link_mbps.is_none_or(|mbps| mbps >= jobs("holder_link_mbps"))
 }
 
-/// Returns how the engine is timed.
+/// Returns the settings of the engine, which depend on whether this host is weak.
 fn engine_settings(shared: &Shared) -> job::Settings {
     let task_lease_max = shared.time("hold_max_ms");
     let strong = is_strong(&shared.settings);
@@ -312,7 +318,8 @@
     } else {
         (shared.time("weak_wait_ms"), "weak_poll_ms")
     };
-    // A weak host looks at workers less often and hears of them late, so that its leases last as long as they may.
+    // A weak host sends heartbeats less often and gets the answers late, so it asks for the longest
+    // leases on workers.
     let task_lease =
         if strong { task_lease_max.min(shared.time("hold_ms")) } else { task_lease_max };
     job::Settings {
--- a/crates/daemon/src/jobs/lag.rs
+++ b/crates/daemon/src/jobs/lag.rs
@@ -1,32 +1,37 @@
-//! How far the actor of a domain lags behind its time: how much later than due it takes a tick.
+//! Measures how far the actor of a domain lags: the delay between the due time of a tick and its
+//! handling.
 //!
-//! Ticks stand in the same queue as all other events, so a lag is the age of what the engine takes in.
+//! Ticks wait in the same queue as all other events, so the lag is the age of the events that the
+//! engine handles.
 
 use std::time;
 
-/// From here on a lag is told: a quarter of the age that a count may have, and of the lease.
-pub const MOST: time::Duration = time::Duration::from_millis(500);
-/// The time between two lines of a lag that comes and goes, or stays.
-const TOLD_AGAIN: time::Duration = time::Duration::from_secs(10);
+/// Lag from which a warning is logged: a quarter of the age that a count may have, and of the
+/// lease.
+pub const WARN_THRESHOLD: time::Duration = time::Duration::from_millis(500);
+/// Minimum time between two warnings.
+const WARN_INTERVAL: time::Duration = time::Duration::from_secs(10);
 
-/// The lag of an actor.
+/// The lag of an actor since its last warning.
 #[derive(Clone, Debug, Default)]
 pub struct Lag {
-    /// The longest since it was last told.
+    /// Longest lag since the last warning.
     longest: time::Duration,
-    /// When it was last told.
-    told: Option<time::Duration>,
+    /// Time of the last warning; `None` before the first.
+    last_warning: Option<time::Duration>,
 }
 
 impl Lag {
-    /// Notes that a tick was taken; returns the longest lag since the last line where a line is due.
-    pub fn note(&mut self, due: time::Duration, now: time::Duration) -> Option<time::Duration> {
+    /// Records a tick; returns the longest lag since the last warning if a new warning is due.
+    pub fn record(&mut self, due: time::Duration, now: time::Duration) -> Option<time::Duration> {
         self.longest = self.longest.max(now.saturating_sub(due));
-        let again = self.told.is_none_or(|told| now.saturating_sub(told) >= TOLD_AGAIN);
-        if self.longest < MOST || !again {
+        let warning_due = self
+            .last_warning
+            .is_none_or(|last_warning| now.saturating_sub(last_warning) >= WARN_INTERVAL);
+        if self.longest < WARN_THRESHOLD || !warning_due {
             return None;
         }
-        self.told = Some(now);
+        self.last_warning = Some(now);
         Some(std::mem::take(&mut self.longest))
     }
 }
--- a/crates/daemon/src/jobs/mod.rs
+++ b/crates/daemon/src/jobs/mod.rs
@@ -1,4 +1,5 @@
-//! The job service of a host: takes callers' jobs, and runs them where this host is the holder.
+//! The job service of a host: answers callers' calls about jobs, and schedules the jobs while this
+//! host holds their domain.
 
 pub mod decided;
 mod entries;
@@ -19,49 +20,49 @@
 use crate::metrics;
 use crate::settings;
 
-/// What the parts of the job service share.
+/// State that the parts of the job service share.
 #[derive(Clone, Debug)]
 pub struct Shared {
-    /// The settings.
+    /// Settings of this host.
     pub settings: sync::Arc<settings::Settings>,
-    /// The clock.
+    /// Monotonic clock of the engine.
     pub clock: sync::Arc<dyn clock::Clock>,
-    /// The store.
+    /// Client of the store, which keeps jobs, progress and leases.
     pub store: store::Store,
-    /// The workers.
+    /// Client of the workers.
     pub workers: workers::Workers,
-    /// The service that knows which workers may run a step.
+    /// Client of the service that knows which workers may run a step.
     pub advisor: advice::Advisor,
-    /// The queues in force.
+    /// Queues in force, from the configuration.
     pub queues: sync::Arc<arc_swap::ArcSwap<job::Queues>>,
-    /// The halls that are closed, with when this host heard of it, in seconds since 1970.
-    pub closed: sync::Arc<arc_swap::ArcSwap<halls::Since>>,
+    /// Closed halls with the time at which this host learned of it, in seconds since 1970.
+    pub closed: sync::Arc<arc_swap::ArcSwap<halls::ClosedSince>>,
     /// Whether this host is stopping.
     pub stopping: sync::Arc<atomic::AtomicBool>,
-    /// When the store answered last, in milliseconds of the clock.
+    /// Clock reading of the store's last answer, in milliseconds.
     pub store_ok_ms: sync::Arc<atomic::AtomicU64>,
-    /// Whether the last call of the store was turned away.
+    /// Whether the store rejected the last call because it was overloaded.
     pub turned_away: sync::Arc<atomic::AtomicBool>,
-    /// The metrics.
+    /// Metrics of this host.
     pub metrics: metrics::Metrics,
-    /// The mark of this process.
+    /// Random number that identifies this process.
     pub nonce: u64,
 }
 
 impl Shared {
-    /// Returns a time from the settings of the job service.
+    /// Returns a duration from the `jobs` table of the settings.
     #[must_use]
     pub fn time(&self, key: &'static str) -> time::Duration {
         self.settings.time("jobs", key)
     }
 
-    /// Returns the number of domains.
+    /// Returns the number of domains that jobs are distributed over.
     #[must_use]
     pub fn domains(&self) -> u32 {
         u32::try_from(self.settings.number("jobs", "domains")).unwrap_or(1)
     }
 
-    /// Counts a call of the store, and notes when it was lost or regained.
+    /// Counts a call to the store and logs when the store is lost or answers again.
     pub fn count_call<T>(&self, call: &str, result: &Result<T, store::StoreError>) {
         let label = match result {
             Ok(_) => "ok",
@@ -69,7 +70,7 @@
             Err(store::StoreError::Silent(_)) => "silent",
             Err(store::StoreError::Unexpected { .. }) => "strange",
             Err(store::StoreError::Refused { status }) => {
-                tracing::error!(call, status, "the store refuses a call for good");
+                tracing::error!(call, status, "the store refused a call permanently");
                 "refused"
             }
         };
@@ -91,17 +92,17 @@
         }
     }
 
-    /// Returns how long the store has not answered this host.
+    /// Returns the time since the store's last answer to this host.
     #[must_use]
-    pub fn store_silent(&self) -> time::Duration {
+    pub fn store_silence(&self) -> time::Duration {
         let now_ms = u64::try_from(self.clock.now().as_millis()).unwrap_or(u64::MAX);
         let ok_ms = self.store_ok_ms.load(atomic::Ordering::Relaxed);
         time::Duration::from_millis(now_ms.saturating_sub(ok_ms))
     }
 
-    /// Returns why a call can't be done whose store does nothing.
+    /// Returns the cause to report for a call that failed because of the store.
     #[must_use]
-    pub fn store_cause(&self) -> job::retry_after::Cause {
+    pub fn store_failure_cause(&self) -> job::retry_after::Cause {
         if self.turned_away.load(atomic::Ordering::Relaxed) {
             job::retry_after::Cause::StoreBusy
         } else {
@@ -109,12 +110,12 @@
         }
     }
 
-    /// Returns whether callers should be sent here.
+    /// Returns whether callers should be sent to this host.
     #[must_use]
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         !self.stopping.load(atomic::Ordering::Relaxed)
             && self.queues.load().revision > 0
-            && self.store_silent() < self.time("unready_ms")
+            && self.store_silence() < self.time("unready_ms")
     }
 }
 
--- a/crates/daemon/src/jobs/run.rs
+++ b/crates/daemon/src/jobs/run.rs
@@ -1,4 +1,7 @@
-//! Runs the job service on a host: opens its ports and stops without cutting a call.
+//! Runs the job service on a host: opens its ports and routes calls of callers and operators.
+//!
+//! At a stop, the host releases its lease first, so that another host can take over; calls in
+//! flight get a grace period to complete.
 
 use std::sync;
 use std::sync::atomic;
@@ -19,22 +22,22 @@
 use crate::metrics;
 use crate::settings;
 
-/// The largest body of a call; a job has at most 64 steps and a text of 4,000 bytes.
+/// Largest body of a call; a job has at most 64 steps and a text of 4,000 bytes.
 const MAX_BODY_BYTES: usize = 256 << 10;
-/// How long a body may take.
+/// Longest time that the body of a call may take to arrive.
 const BODY_TIMEOUT: time::Duration = time::Duration::from_secs(3);
-/// How long a caller waits that does not say so.
-const PATIENCE: time::Duration = time::Duration::from_secs(3);
-/// What is left of a caller's time for the answer's way back.
-const WAY_BACK: time::Duration = time::Duration::from_millis(50);
-/// How long the lease may take to be given up at a stop.
-const LEAVE_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
-/// The time between looks at whether it is.
-const LEAVE_TICK: time::Duration = time::Duration::from_millis(20);
-/// How long an answer to an operator may take.
+/// Time to answer a call whose caller states no deadline.
+const DEFAULT_TIMEOUT: time::Duration = time::Duration::from_secs(3);
+/// Part of the caller's time that is reserved for the answer's way back.
+const RESPONSE_MARGIN: time::Duration = time::Duration::from_millis(50);
+/// Longest time to wait at a stop until the lease is released.
+const RELEASE_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
+/// Interval between checks of whether the lease is released.
+const RELEASE_POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
+/// Longest time that the holder may take to answer an operator's call.
 const OPERATOR_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
-/// Runs the job service until `stop` ends.
+/// Runs the job service until `stop` completes.
 ///
 /// # Errors
 /// Returns `HostError` where a port can't be opened.
@@ -45,61 +48,62 @@
 ) -> Result<(), host::HostError> {
     let callers = host::listen(settings.caller_addr).await?;
     let operators = host::listen(settings.operator_addr).await?;
-    let shared = share(settings, addrs)?;
+    let shared = build_shared(settings, addrs)?;
     let (holder, _) = Actor::spawn(None, holder::Holder, shared.clone()).await?;
-    tokio::spawn(watch::config(shared.clone(), holder.clone()));
+    tokio::spawn(watch::follow_config(shared.clone(), holder.clone()));
     let (end, ended) = tokio::sync::oneshot::channel::<()>();
-    let calls = Calls { shared: shared.clone(), service: service::Service::new(shared.clone()) };
+    let calls =
+        CallHandler { shared: shared.clone(), service: service::Service::new(shared.clone()) };
     let serving = tokio::spawn(server::serve(
         callers,
         server::Bounds::default(),
         async move { drop(ended.await) },
         move |request| calls.clone().serve(request),
     ));
-    let (api, root) = (shared.clone(), holder.clone());
+    let (api_shared, api_holder) = (shared.clone(), holder.clone());
     tokio::spawn(server::serve(
         operators,
         server::Bounds::default(),
         server::never(),
-        move |request| answer_operator(api.clone(), root.clone(), request),
+        move |request| answer_operator(api_shared.clone(), api_holder.clone(), request),
     ));
     let host = shared.settings.host.clone();
     tracing::info!(%host, callers = %shared.settings.caller_addr, nonce = shared.nonce, "host up");
     stop.await;
     tracing::info!(%host, "host stopping");
     shared.stopping.store(true, atomic::Ordering::Relaxed);
-    leave(&holder).await;
+    release_lease(&holder).await;
     tokio::time::sleep(shared.settings.time("traffic", "stop_notice_ms")).await;
     if end.send(()).is_err() {
-        tracing::warn!("the callers' port had closed before");
+        tracing::warn!("the callers' port was already closed");
     }
     let grace = shared.settings.time("traffic", "stop_grace_ms");
     if tokio::time::timeout(grace, serving).await.is_err() {
-        tracing::warn!("calls cut at the end of the grace");
+        tracing::warn!("calls cut at the end of the grace period");
     }
     tracing::info!(%host, "host down");
     Ok(())
 }
 
-/// Gives the lease up, so that another host may take it at once.
-async fn leave(holder: &ractor::ActorRef<holder::Msg>) {
-    holder::tell(holder, job::Event::Leave);
-    let gone = async {
+/// Releases the lease, so that another host may take it at once.
+async fn release_lease(holder: &ractor::ActorRef<holder::Msg>) {
+    holder::send_event(holder, job::Event::Leave);
+    let released = async {
         loop {
-            let left = holder.call(holder::Msg::Left, Some(OPERATOR_TIMEOUT)).await;
-            if matches!(left, Ok(ractor::rpc::CallResult::Success(true))) {
+            let response = holder.call(holder::Msg::IsReleased, Some(OPERATOR_TIMEOUT)).await;
+            if matches!(response, Ok(ractor::rpc::CallResult::Success(true))) {
                 return;
             }
-            tokio::time::sleep(LEAVE_TICK).await;
+            tokio::time::sleep(RELEASE_POLL_INTERVAL).await;
         }
     };
-    if tokio::time::timeout(LEAVE_TIMEOUT, gone).await.is_err() {
-        tracing::warn!("the lease was not given up in time");
+    if tokio::time::timeout(RELEASE_TIMEOUT, released).await.is_err() {
+        tracing::warn!("the lease was not released in time");
     }
 }
 
-/// Makes what the parts of the job service share.
-fn share(
+/// Builds the state that the parts of the job service share.
+fn build_shared(
     settings: settings::Settings,
     (store, advisor): (std::net::SocketAddr, Option<std::net::SocketAddr>),
 ) -> Result<Shared, host::HostError> {
@@ -121,39 +125,39 @@
     })
 }
 
-/// Answers callers.
+/// Serves the callers' port.
 #[derive(Clone, Debug)]
-struct Calls {
-    /// What the parts of the job service share.
+struct CallHandler {
+    /// State that the parts of the job service share.
     shared: Shared,
-    /// The service.
+    /// Service that answers the parsed calls.
     service: service::Service,
 }
 
-impl Calls {
-    /// Answers one call.
+impl CallHandler {
+    /// Parses and answers one call, and logs and counts the answer.
     async fn serve(self, request: hyper::Request<body::Incoming>) -> reply::Reply {
-        let came = self.shared.clock.now();
+        let received_at = self.shared.clock.now();
         let (head, body) = request.into_parts();
         let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
         let host = text(header::HOST.as_str()).unwrap_or_default();
-        let patience = text(callers::DEADLINE_HEADER).and_then(|text| text.parse().ok());
-        let patience = patience.map_or(PATIENCE, time::Duration::from_millis);
-        let deadline = came + patience.saturating_sub(WAY_BACK);
+        let timeout = text(callers::DEADLINE_HEADER).and_then(|text| text.parse().ok());
+        let timeout = timeout.map_or(DEFAULT_TIMEOUT, time::Duration::from_millis);
+        let deadline = received_at + timeout.saturating_sub(RESPONSE_MARGIN);
         let path = head.uri.path();
         let queues = self.shared.queues.load_full();
-        // Paths of the configured queues go before our own.
-        let own = path.starts_with(caller_job::PREFIX) && queues.route(host, path).is_none();
+        // Paths of configured queues take precedence over the built-in ones.
+        let built_in = path.starts_with(caller_job::PREFIX) && queues.route(host, path).is_none();
         let answer = if queues.revision == 0 {
             self.service.without_configuration(path, deadline)
         } else {
             match server::read_body(body, MAX_BODY_BYTES, BODY_TIMEOUT).await {
                 Err(err) => {
-                    tracing::info!(path, %err, "the body of a call was not taken");
+                    tracing::info!(path, %err, "the body of a call can't be read");
                     job::Answer::BadBody
                 }
                 Ok(body) => {
-                    let call = if own {
+                    let call = if built_in {
                         caller_job::read(&head.method, path, &body, &queues)
                     } else {
                         callers::read(&head.method, host, path, &body, &queues)
@@ -165,7 +169,7 @@
                 }
             }
         };
-        let took = self.shared.clock.now().saturating_sub(came);
+        let took = self.shared.clock.now().saturating_sub(received_at);
         let outcome = answer.label();
         self.shared.metrics.requests.with_label_values(&["jobs", outcome]).inc();
         self.shared.metrics.latency.with_label_values(&["jobs"]).observe(took.as_secs_f64());
@@ -178,11 +182,11 @@
             ?answer,
             "call answered"
         );
-        if own { caller_job::write(&answer) } else { callers::write(&answer) }
+        if built_in { caller_job::write(&answer) } else { callers::write(&answer) }
     }
 }
 
-/// Returns a summary of what this host knows.
+/// Returns the status that is shown to operators.
 fn status(shared: &Shared) -> operator::Status {
     let closed = shared.closed.load();
     let closed = closed.iter().map(|(hall, since_s)| (hall.to_string(), *since_s));
@@ -196,14 +200,14 @@
     }
 }
 
-/// Answers operators and the balancer.
+/// Routes one request of an operator or the load balancer by method and path.
 async fn answer_operator(
     shared: Shared,
     holder: ractor::ActorRef<holder::Msg>,
     request: hyper::Request<body::Incoming>,
 ) -> reply::Reply {
     match (request.method(), request.uri().path()) {
-        (&Method::GET, "/ready") if shared.ready() => {
+        (&Method::GET, "/ready") if shared.is_ready() => {
             reply::text(StatusCode::OK, "ready\n".to_owned())
         }
         (&Method::GET, "/ready") => reply::problem(
@@ -216,11 +220,11 @@
         (&Method::GET, "/status") => reply::json(StatusCode::OK, &status(&shared)),
         (&Method::PUT | &Method::DELETE, path) if path.starts_with(operator::CLOSED_HALLS) => {
             let closes = request.method() == Method::PUT;
-            halls::order(&shared, &path[operator::CLOSED_HALLS.len()..], closes).await
+            halls::set_closed(&shared, &path[operator::CLOSED_HALLS.len()..], closes).await
         }
         (&Method::GET, "/dump") => {
-            let asked = holder.call(holder::Msg::Dump, Some(OPERATOR_TIMEOUT)).await;
-            match asked {
+            let response = holder.call(holder::Msg::Dump, Some(OPERATOR_TIMEOUT)).await;
+            match response {
                 Ok(ractor::rpc::CallResult::Success(dump)) => reply::json(StatusCode::OK, &dump),
                 _ => reply::problem(StatusCode::SERVICE_UNAVAILABLE, "busy", "no answer in time"),
             }
--- a/crates/daemon/src/jobs/service.rs
+++ b/crates/daemon/src/jobs/service.rs
@@ -1,6 +1,6 @@
-//! Answers callers: takes jobs, tells how far they are, cancels them, counts what waits.
+//! Answers callers: accepts jobs, reports their state, cancels them and counts waiting jobs.
 //!
-//! Any host does this for any job, by the rows of the store alone.
+//! Any host can answer for any job, since all answers come from the store's rows.
 
 use std::collections;
 use std::fmt;
@@ -13,93 +13,97 @@
 
 use super::Shared;
 
-/// How long the store must have been silent until submissions are not tried any more.
+/// Silence of the store after which submissions are rejected without trying it.
 const LOST_AFTER: time::Duration = time::Duration::from_millis(1_200);
-/// The part of a caller's time in which a job that is handed in is tried here, in percent; leaves
+/// Share of a caller's time in which this host tries to store a submitted job, in percent; leaves
 /// as much for another host.
-const TRY_PERCENT: u32 = 45;
-/// The wait before a call of the store is made again.
-const AGAIN: time::Duration = time::Duration::from_millis(100);
-/// How old a count may be that a caller is told, from the moment up to which it holds all accepted jobs: what
-/// the users' protocol allows.
-const MOST_AGE: time::Duration = time::Duration::from_secs(2);
-/// How long a host keeps what it read of the counts; bounds its reads of them to some two a second.
-const COUNTS_KEPT: time::Duration = time::Duration::from_millis(500);
-/// How long a read of them that failed stands for those who waited behind it, and come right after.
-const FAILURE_KEPT: time::Duration = time::Duration::from_millis(100);
-
-/// The job service towards callers.
+const LOCAL_TIME_PERCENT: u32 = 45;
+/// Delay before a call to the store is retried.
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(100);
+/// Largest age of a count that a caller may be given, from the time up to which it includes all
+/// accepted jobs. The users' protocol sets this bound.
+const MAX_COUNTS_AGE: time::Duration = time::Duration::from_secs(2);
+/// Time for which counts are cached; bounds this host's reads of them to about two a second.
+const COUNTS_TTL: time::Duration = time::Duration::from_millis(500);
+/// Time for which a failed read of the counts is cached, for callers that waited behind it or come
+/// right after.
+const FAILURE_TTL: time::Duration = time::Duration::from_millis(100);
+
+/// The job service as callers use it.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// What the parts of the job service share.
+    /// State that the parts of the job service share.
     shared: Shared,
-    /// What was last read of the counts of what waits.
-    counts: sync::Arc<tokio::sync::Mutex<Option<Reading>>>,
+    /// Last read of the counts of waiting jobs; the lock is held while they are read.
+    counts: sync::Arc<tokio::sync::Mutex<Option<CountsRead>>>,
 }
 
-/// What came of a read of the counts of what waits.
+/// Result of reading the counts of waiting jobs.
 #[derive(Debug)]
-struct Reading {
-    /// When it was begun.
-    asked: time::Duration,
-    /// When it was over.
-    over: time::Duration,
-    /// The counts, or nothing where they could not be read.
+struct CountsRead {
+    /// Clock reading when the read started.
+    started_at: time::Duration,
+    /// Clock reading when the read ended.
+    ended_at: time::Duration,
+    /// The counts; `None` if the read failed.
     counts: Option<Counts>,
-    /// Whether the counts that were last read were new enough to be told; nothing before any were read.
-    believed: Option<bool>,
+    /// Whether the counts of the last successful read were recent enough to be reported; `None`
+    /// before the first.
+    fresh: Option<bool>,
 }
 
-/// What came of writing the row of a job.
+/// Result of writing the row of a job.
 #[derive(Debug)]
-enum Kept {
-    /// It stands, or never will.
-    Told(job::Answer),
-    /// The store turned every write away, so nothing stands and nothing will.
+enum WriteOutcome {
+    /// The row is written or never will be; holds the answer to the caller.
+    Known(job::Answer),
+    /// The store rejected every write, so nothing was written and nothing will be.
     TurnedAway,
-    /// It is not known whether it stands.
-    InDoubt,
+    /// It is not known whether the row is written.
+    Unknown,
 }
 
-/// What waits in all queues.
+/// Counts of waiting jobs in all queues.
 #[derive(Debug)]
 struct Counts {
-    /// How old they were when they were read; nothing where that is not known.
+    /// Age of the counts when they were read; `None` if it is not known.
     age: Option<time::Duration>,
-    /// Jobs that wait, by queue.
+    /// Number of waiting jobs by queue.
     queues: collections::BTreeMap<String, u64>,
 }
 
-impl Reading {
-    /// Returns how old the counts are now; nothing where that is not known.
+impl CountsRead {
+    /// Returns the current age of the counts; `None` if it is not known.
     fn age(&self, now: time::Duration) -> Option<time::Duration> {
-        Some(self.counts.as_ref()?.age? + now.saturating_sub(self.asked))
+        Some(self.counts.as_ref()?.age? + now.saturating_sub(self.started_at))
     }
 
-    /// Returns the counts where they are new enough to be told.
-    fn told(&self, now: time::Duration) -> Option<&Counts> {
-        self.counts.as_ref().filter(|_| self.age(now).is_some_and(|age| age <= MOST_AGE))
+    /// Returns the counts if they are recent enough to be reported.
+    fn fresh_counts(&self, now: time::Duration) -> Option<&Counts> {
+        self.counts.as_ref().filter(|_| self.age(now).is_some_and(|age| age <= MAX_COUNTS_AGE))
     }
 
-    /// Returns whether it still stands for another read.
-    fn stands(&self, now: time::Duration) -> bool {
+    /// Returns whether the cached result may be used for another call.
+    fn is_valid(&self, now: time::Duration) -> bool {
         if self.counts.is_none() {
-            return now.saturating_sub(self.over) < FAILURE_KEPT;
+            return now.saturating_sub(self.ended_at) < FAILURE_TTL;
         }
-        // Counts that were too old at once are not read again by every caller; those that have become so are.
-        let became_old = self.told(self.over).is_some() && self.told(now).is_none();
-        now.saturating_sub(self.over) < COUNTS_KEPT && !became_old
+        // Counts that were too old when read are cached all the same, so that not every caller
+        // reads them again; counts that have become too old since are read again.
+        let expired =
+            self.fresh_counts(self.ended_at).is_some() && self.fresh_counts(now).is_none();
+        now.saturating_sub(self.ended_at) < COUNTS_TTL && !expired
     }
 }
 
 impl Service {
-    /// Makes the service.
+    /// Creates the service with an empty cache.
     #[must_use]
     pub fn new(shared: Shared) -> Self {
         Self { shared, counts: sync::Arc::default() }
     }
 
-    /// Answers a call before its deadline, by the clock.
+    /// Answers a call before its deadline, a reading of the clock.
     pub async fn answer(&self, call: job::Call, deadline: time::Duration) -> job::Answer {
         match call {
             job::Call::Submit { id, job } => self.submit(id, job, deadline).await,
@@ -109,20 +113,20 @@
         }
     }
 
-    /// Sends a caller off while there is no configuration.
+    /// Rejects a call while this host has no configuration.
     #[must_use]
     pub fn without_configuration(&self, path: &str, deadline: time::Duration) -> job::Answer {
         self.not_taken(retry_after::Cause::NoConfiguration, &path, deadline)
     }
 
-    /// Takes a job: it is accepted once its row stands.
+    /// Accepts a job; it counts as accepted once its row is written.
     async fn submit(&self, id: job::JobId, job: job::Job, deadline: time::Duration) -> job::Answer {
         if let Err(refusal) = job.check() {
             return job::Answer::Refused(refusal);
         }
-        if self.shared.store_silent() >= LOST_AFTER {
-            // Nothing was sent, so another host may be asked at once.
-            return self.not_taken(self.shared.store_cause(), &id, deadline);
+        if self.shared.store_silence() >= LOST_AFTER {
+            // Nothing was sent, so the caller may ask another host at once.
+            return self.not_taken(self.shared.store_failure_cause(), &id, deadline);
         }
         let key = job::job_key(self.domain(id), id);
         let accepted = job::Accepted { job, cancelled: false, accepted_ms: super::wall_ms() };
@@ -138,46 +142,56 @@
             expects: vec![rows::Expect { key: key.clone(), version: 0 }],
             writes: vec![rows::Write { key: key.clone(), value: Some(value) }],
         };
-        // Another host may reach the store where this one does not, so the caller is told in time
-        // to ask there.
+        // Another host may reach the store although this one does not, so the caller gets its
+        // answer early enough to ask there.
         let now = self.shared.clock.now();
-        let give_up = now + deadline.saturating_sub(now) * TRY_PERCENT / 100;
-        let tries = self.keep(&key, &txn, give_up);
-        let left = give_up.saturating_sub(now);
-        match tokio::time::timeout(left, tries).await {
-            Ok(Kept::Told(answer)) => answer,
-            Ok(Kept::TurnedAway) => self.not_taken(retry_after::Cause::StoreBusy, &id, deadline),
-            Ok(Kept::InDoubt) | Err(_) => self.in_doubt(id, deadline),
+        let give_up_at = now + deadline.saturating_sub(now) * LOCAL_TIME_PERCENT / 100;
+        let write = self.write_job_row(&key, &txn, give_up_at);
+        let left = give_up_at.saturating_sub(now);
+        match tokio::time::timeout(left, write).await {
+            Ok(WriteOutcome::Known(answer)) => answer,
+            Ok(WriteOutcome::TurnedAway) => {
+                self.not_taken(retry_after::Cause::StoreBusy, &id, deadline)
+            }
+            Ok(WriteOutcome::Unknown) | Err(_) => self.unknown_outcome(id, deadline),
         }
     }
 
-    /// Writes the row of a job until it is known to stand, or known not to.
-    async fn keep(&self, key: &rows::Key, txn: &rows::Txn, give_up: time::Duration) -> Kept {
-        // Once a write had no answer it may land late, so only its row tells what is true.
-        let mut doubt = false;
+    /// Writes the row of a job until it is known to be written, or known not to be.
+    async fn write_job_row(
+        &self,
+        key: &rows::Key,
+        txn: &rows::Txn,
+        give_up_at: time::Duration,
+    ) -> WriteOutcome {
+        // A write without an answer may take effect late, so from then on only the row shows the
+        // outcome.
+        let mut outcome_unknown = false;
         loop {
             match self.transact(txn).await {
-                // The same job came before, or an earlier sending of this write has landed.
-                Ok(_) => return Kept::Told(job::Answer::Accepted),
+                // Either the same job was submitted before or an earlier attempt of this write took
+                // effect.
+                Ok(_) => return WriteOutcome::Known(job::Answer::Accepted),
                 Err(store::StoreError::Refused { .. }) => {
-                    return Kept::Told(job::Answer::Refused(job::Refusal::NotKept));
+                    return WriteOutcome::Known(job::Answer::Refused(job::Refusal::NotKept));
                 }
-                Err(store::StoreError::TurnedAway { .. }) if !doubt => {
-                    return Kept::TurnedAway;
+                Err(store::StoreError::TurnedAway { .. }) if !outcome_unknown => {
+                    return WriteOutcome::TurnedAway;
                 }
-                Err(err) => doubt |= !matches!(err, store::StoreError::TurnedAway { .. }),
+                Err(err) => outcome_unknown |= !matches!(err, store::StoreError::TurnedAway { .. }),
             }
-            // Reads don't queue behind the writes of a slow store, and the row tells as much.
-            if doubt && matches!(self.get(key).await, Ok(Some(_))) {
-                return Kept::Told(job::Answer::Accepted);
+            // Reads don't queue behind the writes of a slow store, and finding the row is
+            // sufficient.
+            if outcome_unknown && matches!(self.get(key).await, Ok(Some(_))) {
+                return WriteOutcome::Known(job::Answer::Accepted);
             }
-            if !self.again(give_up).await {
-                return Kept::InDoubt;
+            if !self.wait_to_retry(give_up_at).await {
+                return WriteOutcome::Unknown;
             }
         }
     }
 
-    /// Tells how far a job is.
+    /// Reports the state of a job.
     async fn state(&self, id: job::JobId, deadline: time::Duration) -> job::Answer {
         match self.read_state(id).await {
             Ok(answer) => answer,
@@ -185,10 +199,11 @@
         }
     }
 
-    /// Reads how far a job is, or returns why that is not known.
+    /// Reads the state of a job, or returns why it is not known.
     async fn read_state(&self, id: job::JobId) -> Result<job::Answer, retry_after::Cause> {
         let domain = self.domain(id);
-        let progress = self.get(&job::progress_key(domain, id)).await.map_err(|err| cause(&err))?;
+        let progress =
+            self.get(&job::progress_key(domain, id)).await.map_err(|err| retry_cause(&err))?;
         if let Some(text) = progress.and_then(|row| row.value) {
             return match job::Progress::decode(&text) {
                 Ok(progress) => Ok(job::Answer::State(progress.phase)),
@@ -198,11 +213,12 @@
                 }
             };
         }
-        let accepted = self.get(&job::job_key(domain, id)).await.map_err(|err| cause(&err))?;
+        let accepted =
+            self.get(&job::job_key(domain, id)).await.map_err(|err| retry_cause(&err))?;
         Ok(accepted.map_or(job::Answer::NoJob, |row| job::Answer::State(accepted_phase(&row))))
     }
 
-    /// Cancels a job: it is cancelled once its row says so.
+    /// Cancels a job; it counts as cancelled once its row says so.
     async fn cancel(&self, id: job::JobId, deadline: time::Duration) -> job::Answer {
         let key = job::job_key(self.domain(id), id);
         loop {
@@ -215,13 +231,13 @@
                 }
                 Err(_) => {}
             }
-            if !self.again(deadline).await {
-                return self.in_doubt(id, deadline);
+            if !self.wait_to_retry(deadline).await {
+                return self.unknown_outcome(id, deadline);
             }
         }
     }
 
-    /// Writes that a job is cancelled; nothing stands for a write that has to be made again.
+    /// Marks a job as cancelled in its row; returns `None` if the write must be retried.
     async fn write_cancel(&self, key: &rows::Key, row: &rows::Row) -> Option<job::Answer> {
         let text = row.value.as_deref()?;
         let mut accepted: job::Accepted = match serde_json::from_str(text) {
@@ -248,7 +264,7 @@
         }
     }
 
-    /// Counts the jobs of a queue that wait, where that is known well enough.
+    /// Reports the number of waiting jobs of a queue if a recent count is available in time.
     async fn waiting(&self, queue: &str, deadline: time::Duration) -> job::Answer {
         let left = deadline.saturating_sub(self.shared.clock.now());
         let count = tokio::time::timeout(left, self.count(queue)).await;
@@ -258,22 +274,23 @@
         }
     }
 
-    /// Returns how many jobs of a queue wait; those who ask while the counts are read share what comes of it.
+    /// Returns the number of waiting jobs of a queue; concurrent callers share one read of the
+    /// counts.
     async fn count(&self, queue: &str) -> Option<u64> {
         let mut last = self.counts.lock().await;
-        if !last.as_ref().is_some_and(|last| last.stands(self.shared.clock.now())) {
-            let asked = self.shared.clock.now();
+        if !last.as_ref().is_some_and(|last| last.is_valid(self.shared.clock.now())) {
+            let started_at = self.shared.clock.now();
             let counts = self.read_counts().await;
-            let before = last.as_ref().and_then(|last| last.believed);
-            let over = self.shared.clock.now();
-            let mut reading = Reading { asked, over, counts, believed: before };
-            if reading.counts.is_some() {
-                reading.believed = Some(reading.told(over).is_some());
+            let before = last.as_ref().and_then(|last| last.fresh);
+            let ended_at = self.shared.clock.now();
+            let mut read = CountsRead { started_at, ended_at, counts, fresh: before };
+            if read.counts.is_some() {
+                read.fresh = Some(read.fresh_counts(ended_at).is_some());
             }
-            log_belief(before, &reading);
-            *last = Some(reading);
+            log_freshness_change(before, &read);
+            *last = Some(read);
         }
-        let counts = last.as_ref()?.told(self.shared.clock.now())?;
+        let counts = last.as_ref()?.fresh_counts(self.shared.clock.now())?;
         Some(counts.queues.get(queue).copied().unwrap_or(0))
     }
 
@@ -291,7 +308,7 @@
             let waiting: job::Waiting = match waiting {
                 Ok(waiting) => waiting,
                 Err(err) => {
-                    tracing::error!(domain, %err, "counts of what waits can't be read");
+                    tracing::error!(domain, %err, "counts of waiting jobs can't be read");
                     return None;
                 }
             };
@@ -304,39 +321,39 @@
         Some(all)
     }
 
-    /// Returns why no count is told.
+    /// Returns the cause to report when there is no recent count.
     fn count_cause(&self) -> retry_after::Cause {
-        if self.shared.store_silent() >= LOST_AFTER {
-            self.shared.store_cause()
+        if self.shared.store_silence() >= LOST_AFTER {
+            self.shared.store_failure_cause()
         } else {
             retry_after::Cause::NotKnown
         }
     }
 
-    /// Sends off a caller for whom nothing was done.
+    /// Rejects a call for which nothing was done.
     fn not_taken(
         &self,
         cause: retry_after::Cause,
         about: &dyn fmt::Display,
         deadline: time::Duration,
     ) -> job::Answer {
-        job::Answer::NotTaken { retry_after: self.come_back(cause, about, deadline) }
+        job::Answer::NotTaken { retry_after: self.retry_delay(cause, about, deadline) }
     }
 
-    /// Sends off a caller whose call may have been done.
-    fn in_doubt(&self, id: job::JobId, deadline: time::Duration) -> job::Answer {
-        let retry_after = self.come_back(retry_after::Cause::InDoubt, &id, deadline);
+    /// Answers a call that may have been carried out.
+    fn unknown_outcome(&self, id: job::JobId, deadline: time::Duration) -> job::Answer {
+        let retry_after = self.retry_delay(retry_after::Cause::InDoubt, &id, deadline);
         job::Answer::Unknown { retry_after }
     }
 
-    /// Returns when a caller may come back; counts and logs why.
-    fn come_back(
+    /// Returns the delay after which a caller may retry; counts and logs the cause.
+    fn retry_delay(
         &self,
         cause: retry_after::Cause,
         about: &dyn fmt::Display,
         deadline: time::Duration,
     ) -> time::Duration {
-        let idle = self.shared.store_silent();
+        let idle = self.shared.store_silence();
         let left = deadline.saturating_sub(self.shared.clock.now());
         let after = retry_after::of(cause, idle, left, rand::random());
         let (idle_ms, left_ms) = (idle.as_millis(), left.as_millis());
@@ -351,19 +368,19 @@
         job::domain_of(id, self.shared.domains())
     }
 
-    /// Returns the longest text that a row of the store takes: it stands there as base64.
+    /// Returns the longest text that fits into a row of the store, which holds it as base64.
     fn row_bytes(&self) -> usize {
         let bytes = self.shared.settings.number("jobs", "row_bytes");
         usize::try_from(bytes).unwrap_or(usize::MAX) / 4 * 3
     }
 
-    /// Waits a little before a call is made again; returns whether there is time for it.
-    async fn again(&self, deadline: time::Duration) -> bool {
-        tokio::time::sleep(AGAIN).await;
-        self.shared.clock.now() + AGAIN < deadline
+    /// Waits before a retry; returns whether there is time left for it.
+    async fn wait_to_retry(&self, deadline: time::Duration) -> bool {
+        tokio::time::sleep(RETRY_DELAY).await;
+        self.shared.clock.now() + RETRY_DELAY < deadline
     }
 
-    /// Makes a transaction and counts the call.
+    /// Runs a transaction and counts the call.
     async fn transact(&self, txn: &rows::Txn) -> Result<rows::Answer, store::StoreError> {
         let answer = self.shared.store.transact(txn).await;
         self.shared.count_call("submit", &answer);
@@ -378,8 +395,8 @@
     }
 }
 
-/// Returns why a call can't be done whose read of the store failed.
-fn cause(err: &store::StoreError) -> retry_after::Cause {
+/// Returns the cause to report for a failed read of the store.
+fn retry_cause(err: &store::StoreError) -> retry_after::Cause {
     match err {
         store::StoreError::TurnedAway { .. } => retry_after::Cause::StoreBusy,
         store::StoreError::Silent(_) => retry_after::Cause::StoreSilent,
@@ -389,22 +406,22 @@
     }
 }
 
-/// Logs whether counts are told, when that has changed; reads that failed change nothing.
-fn log_belief(before: Option<bool>, reading: &Reading) {
-    let age_ms = reading.age(reading.over).map(|age| age.as_millis());
-    let limit_ms = MOST_AGE.as_millis();
-    match (before, reading.believed) {
+/// Logs when counts start or cease to be reported; failed reads change nothing.
+fn log_freshness_change(before: Option<bool>, read: &CountsRead) {
+    let age_ms = read.age(read.ended_at).map(|age| age.as_millis());
+    let limit_ms = MAX_COUNTS_AGE.as_millis();
+    match (before, read.fresh) {
         (before, after) if before == after => {}
-        (_, Some(true)) => tracing::info!(age_ms, limit_ms, "counts of what waits are told"),
+        (_, Some(true)) => tracing::info!(age_ms, limit_ms, "counts of waiting jobs are reported"),
         _ => tracing::warn!(
             age_ms,
             limit_ms,
-            "counts of what waits are too old, or of unknown age, and not told"
+            "counts of waiting jobs are too old, or of unknown age, and not reported"
         ),
     }
 }
 
-/// Returns what is told of a job that nobody has begun.
+/// Returns the phase of a job that no holder has begun.
 fn accepted_phase(row: &rows::Row) -> job::Phase {
     let accepted = row.value.as_deref().map(serde_json::from_str::<job::Accepted>);
     match accepted {
--- a/crates/daemon/src/jobs/watch.rs
+++ b/crates/daemon/src/jobs/watch.rs
@@ -1,4 +1,8 @@
-//! Follows what others write to the store: the configuration, closed halls, the list of workers, accepted jobs.
+//! Follows the rows that others write to the store: the configuration, closed halls, worker entries
+//! and accepted jobs.
+//!
+//! Each feed is a long poll after a version. If the store no longer has the history after that
+//! version, the table is read again as a whole.
 
 use std::sync;
 use std::sync::atomic;
@@ -13,74 +17,77 @@
 use super::halls;
 use super::holder;
 
-/// How long the store may hold a feed open. Each call has its price, and silence goes unseen until this
-/// and the slack are over, so it takes what `SILENCE` leaves.
+/// Longest time that the store may hold a feed's call open. Each call has a cost, and a silent
+/// connection is only detected after this time plus `FEED_SLACK`, so it uses what
+/// `MAX_FEED_SILENCE` allows.
 const FEED_WAIT: time::Duration = time::Duration::from_millis(850);
-/// The same for accepted jobs, whose every answer renews what the holder may say of them. Counts are written
-/// every 0.7 s besides, and may be 2 s old where they are told.
+/// The same for accepted jobs, where every answer extends the time up to which the holder knows
+/// them all. Counts are written every 0.7 s in addition, and may be 2 s old when they are reported.
 const JOBS_FEED_WAIT: time::Duration = time::Duration::from_millis(700);
-/// How long a feed may go on over a connection that has gone silent: a configuration has to be in force
-/// 2 s after its acknowledgement, and half a second is left for the next call and what follows.
-const SILENCE: time::Duration = time::Duration::from_millis(1_500);
-/// The wait before a call that was answered by an error, or got no connection, is made again.
-const AGAIN: time::Duration = time::Duration::from_millis(200);
+/// Longest time that a feed may wait on a silent connection: a configuration must be in force 2 s
+/// after its acknowledgement, and half a second is left for the next call and the processing.
+const MAX_FEED_SILENCE: time::Duration = time::Duration::from_millis(1_500);
+/// Delay before a call is retried that was answered with an error or found no connection.
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(200);
 
-/// How often a read of the whole state looks whether it is still wanted.
-const OVER_TICK: time::Duration = time::Duration::from_millis(100);
-/// How many parts of the accepted jobs are read at once: beside a whole state the link of a weak host, 10 Mbit/s, has to
-/// carry a configuration within 3 s, and each read takes as much of it.
-const READS_AT_ONCE: usize = 2;
+/// Interval at which a read of the whole state checks whether its lease term still lasts.
+const TERM_POLL_INTERVAL: time::Duration = time::Duration::from_millis(100);
+/// Number of parts of the accepted jobs that are read concurrently. The link of a weak host, 10
+/// Mbit/s, has to carry a configuration within 3 s beside a read of the whole state, and each
+/// concurrent read takes an equal share of it.
+const MAX_CONCURRENT_READS: usize = 2;
 
-const _: () = assert!(FEED_WAIT.as_millis() + store::FEED_SLACK.as_millis() <= SILENCE.as_millis());
+const _: () =
+    assert!(FEED_WAIT.as_millis() + store::FEED_SLACK.as_millis() <= MAX_FEED_SILENCE.as_millis());
 
-/// What a feed gave.
+/// Result of one call of a feed.
 #[derive(Debug)]
-enum Next {
-    /// Changes, maybe none.
+enum FeedResult {
+    /// A page of changes, which may be empty.
     Rows(rows::Page),
-    /// No answer that tells of changes; the store keeps its history, so the feed goes on after the same version.
-    Same,
-    /// What it gave can't be gone on from: the table must be read anew.
-    Anew,
+    /// The call failed, but the store keeps its history: the feed continues after the same version.
+    Unchanged,
+    /// The feed can't continue: the table must be read again as a whole.
+    Reload,
 }
 
 /// Follows the configuration and closed halls for as long as the process runs.
-pub async fn config(shared: Shared, holder: ractor::ActorRef<holder::Msg>) {
+pub async fn follow_config(shared: Shared, holder: ractor::ActorRef<holder::Msg>) {
     let key = rows::Key {
         table: config::OPERATOR_TABLE,
         part: config::EXTERNAL_PART.to_owned(),
         name: config::CONFIG_KEY.to_owned(),
     };
-    let mut teller = halls::Teller::new(shared.clone(), holder.clone());
+    let mut closed_halls = halls::ClosedHallsFeed::new(shared.clone(), holder.clone());
     loop {
         let page = shared.store.read_part(key.table, &key.part).await;
         shared.count_call("config", &page);
         let page = match page {
             Ok(page) => page,
             Err(err) => {
-                pause(&err).await;
+                pause_after_error(&err).await;
                 continue;
             }
         };
-        teller.read(&page);
-        take_config(&shared, &holder, &page.rows);
+        closed_halls.publish_all(&page);
+        apply_config(&shared, &holder, &page.rows);
         let mut after = page.version;
         loop {
-            match next(&shared, key.table, after, FEED_WAIT).await {
-                Next::Rows(page) => {
-                    teller.follow(&page);
-                    take_config(&shared, &holder, &page.rows);
+            match poll_feed(&shared, key.table, after, FEED_WAIT).await {
+                FeedResult::Rows(page) => {
+                    closed_halls.publish_changes(&page);
+                    apply_config(&shared, &holder, &page.rows);
                     after = page.version;
                 }
-                Next::Same => {}
-                Next::Anew => break,
+                FeedResult::Unchanged => {}
+                FeedResult::Reload => break,
             }
         }
     }
 }
 
 /// Puts a configuration in force if it is newer.
-fn take_config(shared: &Shared, holder: &ractor::ActorRef<holder::Msg>, rows: &[rows::Row]) {
+fn apply_config(shared: &Shared, holder: &ractor::ActorRef<holder::Msg>, rows: &[rows::Row]) {
     let ours =
         |row: &&rows::Row| row.name == config::CONFIG_KEY && row.part == config::EXTERNAL_PART;
     let rows = rows.iter().filter(ours);
@@ -91,160 +98,167 @@
                 shared.metrics.revision.set(i64::try_from(queues.revision).unwrap_or(i64::MAX));
                 let queues = sync::Arc::new(queues);
                 shared.queues.store(sync::Arc::clone(&queues));
-                holder::tell(holder, job::Event::Queues(queues));
+                holder::send_event(holder, job::Event::Queues(queues));
             }
             Ok(_) => {}
-            Err(err) => tracing::error!(%err, "configuration refused, the last one stays"),
+            Err(err) => tracing::error!(%err, "configuration rejected, the last one stays"),
         }
     }
 }
 
-/// What is followed only while this host holds the domain.
+/// Follows the rows that only the holder of the domain needs, for one lease term.
 #[derive(Clone, Debug)]
 pub struct Follower {
-    /// What the parts of the job service share.
+    /// State that the parts of the job service share.
     pub shared: Shared,
-    /// The holder.
+    /// Actor that receives the rows as events.
     pub holder: ractor::ActorRef<holder::Msg>,
-    /// Reads the entries of workers.
-    pub entries: sync::Arc<entries::Entries>,
-    /// Which holding this belongs to, and the one that is on.
+    /// Parses worker entries and remembers the invalid ones.
+    pub entries: sync::Arc<entries::EntryReader>,
+    /// Lease term that this follower was started for, and the counter of the current one.
     pub generation: (u64, sync::Arc<atomic::AtomicU64>),
 }
 
 impl Follower {
-    /// Reads everything that a new holder must know, then follows its changes.
+    /// Reads the whole state that a new holder needs, then follows its changes.
     pub async fn load(self, domain: u32) {
         let part = job::part(domain);
         let reads = async {
             tokio::join!(
-                self.all(entry::WORKERS_TABLE, config::EXTERNAL_PART),
-                self.accepted(domain),
-                self.all(job::PROGRESS, &part),
-                self.all(job::LEARNED, &part),
-                self.closed(),
+                self.read_part(entry::WORKERS_TABLE, config::EXTERNAL_PART),
+                self.read_accepted(domain),
+                self.read_part(job::PROGRESS, &part),
+                self.read_part(job::LEARNED, &part),
+                self.read_closed_halls(),
             )
         };
-        // A read may outlast its holding. The next one would take old rows for the state, with no one to follow on
-        // from them, and a weak link would carry both.
+        // A read may outlast its lease term. The next term would take the old rows for the current
+        // state, with nobody following their changes, and a weak link would carry both reads.
         let read = tokio::select! {
             read = reads => read,
-            () = self.over() => {
-                return tracing::info!(domain, "state read for a holding that is over, passed over");
+            () = self.lease_term_ended() => {
+                return tracing::info!(domain, "state read for a lease term that has ended, ignored");
             }
         };
         let (Ok(workers), Ok(jobs), Ok(progress), Ok(learned), closed) = read else {
-            tokio::time::sleep(AGAIN).await;
-            if self.wanted() {
-                holder::tell(&self.holder, job::Event::LoadFailed);
+            tokio::time::sleep(RETRY_DELAY).await;
+            if self.is_current() {
+                holder::send_event(&self.holder, job::Event::LoadFailed);
             }
             return;
         };
-        if !self.wanted() {
-            return tracing::info!(domain, "state read for a holding that is over, passed over");
+        if !self.is_current() {
+            return tracing::info!(domain, "state read for a lease term that has ended, ignored");
         }
         let versions = (workers.version, jobs.version);
-        let heard_ms = jobs.now_ms;
-        self.tell_list(&workers);
+        let jobs_read_up_to_ms = jobs.now_ms;
+        self.send_workers(&workers);
         match closed {
-            Ok(page) => holder::tell(&self.holder, job::Event::Closed(halls::read(&page))),
-            // The feed of that table may tell it soon; the engine knows for how long to wait.
+            Ok(page) => {
+                holder::send_event(&self.holder, job::Event::Closed(halls::read_all(&page)))
+            }
+            // The feed of the operator's table may deliver the closed halls soon; the engine bounds
+            // the wait for them.
             Err(err) => tracing::warn!(domain, %err, "closed halls not read, nothing starts yet"),
         }
         let loaded =
             job::Event::Loaded { jobs: jobs.rows, progress: progress.rows, learned: learned.rows };
-        holder::tell(&self.holder, loaded);
-        self.tell_heard(heard_ms);
+        holder::send_event(&self.holder, loaded);
+        self.send_jobs_read_up_to(jobs_read_up_to_ms);
         tokio::spawn(self.clone().follow_workers(versions.0));
         tokio::spawn(self.follow_jobs(domain, versions.1));
     }
 
-    /// Follows the list of workers.
+    /// Follows the entries of workers.
     async fn follow_workers(self, mut after: u64) {
-        while self.wanted() {
-            while let Some(page) = self.next(entry::WORKERS_TABLE, &mut after, FEED_WAIT).await {
+        while self.is_current() {
+            while let Some(page) = self.next_page(entry::WORKERS_TABLE, &mut after, FEED_WAIT).await
+            {
                 for (worker, member) in page.rows.iter().filter_map(|row| self.entries.read(row)) {
-                    holder::tell(&self.holder, job::Event::Member(worker, member));
+                    holder::send_event(&self.holder, job::Event::Member(worker, member));
                 }
             }
-            match self.all(entry::WORKERS_TABLE, config::EXTERNAL_PART).await {
+            match self.read_part(entry::WORKERS_TABLE, config::EXTERNAL_PART).await {
                 Ok(page) => {
                     after = page.version;
-                    self.tell_list(&page);
+                    self.send_workers(&page);
                 }
-                Err(err) => pause(&err).await,
+                Err(err) => pause_after_error(&err).await,
             }
         }
     }
 
-    /// Follows accepted jobs and cancels.
+    /// Follows accepted jobs and cancellations.
     async fn follow_jobs(self, domain: u32, mut after: u64) {
-        while self.wanted() {
-            while let Some(page) = self.next(job::JOBS, &mut after, JOBS_FEED_WAIT).await {
-                self.tell_jobs(page);
+        while self.is_current() {
+            while let Some(page) = self.next_page(job::JOBS, &mut after, JOBS_FEED_WAIT).await {
+                self.send_jobs(page);
             }
-            match self.accepted(domain).await {
+            match self.read_accepted(domain).await {
                 Ok(page) => {
                     after = page.version;
-                    self.tell_jobs(page);
+                    self.send_jobs(page);
                 }
-                Err(err) => pause(&err).await,
+                Err(err) => pause_after_error(&err).await,
             }
         }
     }
 
-    /// Tells of accepted jobs, and up to when they are all that were accepted.
-    fn tell_jobs(&self, page: rows::Page) {
-        // Behind an answer that is not whole there are more, as old as its last.
-        let heard_ms = page.now_ms.filter(|_| !page.more);
+    /// Sends accepted jobs and the time up to which they are complete.
+    fn send_jobs(&self, page: rows::Page) {
+        // An incomplete page is followed by further jobs that may be as old as its last one.
+        let jobs_read_up_to_ms = page.now_ms.filter(|_| !page.more);
         if !page.rows.is_empty() {
-            holder::tell(&self.holder, job::Event::Jobs(page.rows));
+            holder::send_event(&self.holder, job::Event::Jobs(page.rows));
         }
-        self.tell_heard(heard_ms);
+        self.send_jobs_read_up_to(jobs_read_up_to_ms);
     }
 
-    /// Tells up to when all accepted jobs were told, where the store said; behind them, so that a holder that
-    /// lags knows no more than it has taken in.
-    fn tell_heard(&self, heard_ms: Option<u64>) {
-        if let Some(up_to_ms) = heard_ms {
-            holder::tell(&self.holder, job::Event::JobsReadUpTo { up_to_ms });
+    /// Sends the time up to which all accepted jobs have been sent, if the store reported it. It
+    /// follows the jobs themselves, so that a lagging holder does not assume more than it has
+    /// handled.
+    fn send_jobs_read_up_to(&self, jobs_read_up_to_ms: Option<u64>) {
+        if let Some(up_to_ms) = jobs_read_up_to_ms {
+            holder::send_event(&self.holder, job::Event::JobsReadUpTo { up_to_ms });
         }
     }
 
-    /// Tells the whole list of workers.
-    fn tell_list(&self, page: &rows::Page) {
-        holder::tell(&self.holder, job::Event::Listed(self.entries.list(&page.rows)));
+    /// Sends the complete list of workers.
+    fn send_workers(&self, page: &rows::Page) {
+        holder::send_event(&self.holder, job::Event::Listed(self.entries.list(&page.rows)));
     }
 
-    /// Returns the next changes while they are wanted, or nothing where the table must be read anew.
-    async fn next(
+    /// Returns the next changes; `None` if the table must be read again or the lease term has
+    /// ended.
+    async fn next_page(
         &self,
         table: &'static str,
         after: &mut u64,
         wait: time::Duration,
     ) -> Option<rows::Page> {
-        while self.wanted() {
-            match next(&self.shared, table, *after, wait).await {
-                Next::Rows(page) => {
+        while self.is_current() {
+            match poll_feed(&self.shared, table, *after, wait).await {
+                FeedResult::Rows(page) => {
                     *after = page.version;
                     return Some(page);
                 }
-                Next::Same => {}
-                Next::Anew => return None,
+                FeedResult::Unchanged => {}
+                FeedResult::Reload => return None,
             }
         }
         None
     }
 
     /// Reads a whole part of a table and counts the call.
-    async fn all(&self, table: &str, part: &str) -> Result<rows::Page, store::StoreError> {
+    async fn read_part(&self, table: &str, part: &str) -> Result<rows::Page, store::StoreError> {
         let page = self.shared.store.read_part(table, part).await;
         self.shared.count_call("all", &page);
         page
     }
 
-    /// Reads the rows of closed halls and counts the call; the configuration beside them is not wanted, it is long.
-    async fn closed(&self) -> Result<rows::Page, store::StoreError> {
+    /// Reads the rows of closed halls and counts the call; the key range leaves out the
+    /// configuration, which is large.
+    async fn read_closed_halls(&self) -> Result<rows::Page, store::StoreError> {
         let keys = (closed::FIRST_KEY, closed::END_KEY);
         let page =
             self.shared.store.read_range(config::OPERATOR_TABLE, config::EXTERNAL_PART, keys).await;
@@ -252,11 +266,12 @@
         page
     }
 
-    /// Reads the accepted jobs of a domain; the version and the time are those of the oldest answer.
-    async fn accepted(&self, domain: u32) -> Result<rows::Page, store::StoreError> {
-        let reads =
-            job::job_parts(domain).map(|part| async move { self.all(job::JOBS, &part).await });
-        let mut reads = stream::iter(reads).buffer_unordered(READS_AT_ONCE);
+    /// Reads the accepted jobs of a domain; the version and the time are those of the oldest
+    /// answer.
+    async fn read_accepted(&self, domain: u32) -> Result<rows::Page, store::StoreError> {
+        let reads = job::job_parts(domain)
+            .map(|part| async move { self.read_part(job::JOBS, &part).await });
+        let mut reads = stream::iter(reads).buffer_unordered(MAX_CONCURRENT_READS);
         let mut all =
             rows::Page { version: u64::MAX, now_ms: Some(u64::MAX), ..rows::Page::default() };
         while let Some(page) = reads.try_next().await? {
@@ -267,45 +282,45 @@
         Ok(all)
     }
 
-    /// Waits until the holding that this belongs to is over.
-    async fn over(&self) {
-        while self.wanted() {
-            tokio::time::sleep(OVER_TICK).await;
+    /// Waits until the follower's lease term has ended.
+    async fn lease_term_ended(&self) {
+        while self.is_current() {
+            tokio::time::sleep(TERM_POLL_INTERVAL).await;
         }
     }
 
-    /// Returns whether the holding that this belongs to goes on.
-    fn wanted(&self) -> bool {
-        let (own, on) = &self.generation;
-        on.load(atomic::Ordering::Relaxed) == *own
+    /// Returns whether the follower's lease term still lasts.
+    fn is_current(&self) -> bool {
+        let (own, current) = &self.generation;
+        current.load(atomic::Ordering::Relaxed) == *own
     }
 }
 
-/// Makes one call of a feed; after a failure it waits a little where it has not waited in vain already.
-async fn next(shared: &Shared, table: &str, after: u64, wait: time::Duration) -> Next {
+/// Makes one call of a feed; after a failure it waits, unless the call itself timed out.
+async fn poll_feed(shared: &Shared, table: &str, after: u64, wait: time::Duration) -> FeedResult {
     let changes = shared.store.changes(table, after, wait).await;
     shared.count_call("feed", &changes);
     match changes {
-        Ok(rows::Changes::Rows(page)) => Next::Rows(page),
+        Ok(rows::Changes::Rows(page)) => FeedResult::Rows(page),
         Ok(rows::Changes::Forgotten) => {
-            tracing::info!(table, after, "history forgotten, the table is read anew");
-            Next::Anew
+            tracing::info!(table, after, "the store's history is gone, reading the table again");
+            FeedResult::Reload
         }
         Err(err) => {
             tracing::debug!(table, after, %err, "feed failed");
-            pause(&err).await;
-            let strange = matches!(
+            pause_after_error(&err).await;
+            let needs_reload = matches!(
                 err,
                 store::StoreError::Unexpected { .. } | store::StoreError::Refused { .. }
             );
-            if strange { Next::Anew } else { Next::Same }
+            if needs_reload { FeedResult::Reload } else { FeedResult::Unchanged }
         }
     }
 }
 
-/// Waits before a failed call is made again, unless it has waited in vain already: the next goes over a new connection.
-async fn pause(err: &store::StoreError) {
+/// Waits before a retry, unless the failed call timed out: the next one uses a new connection.
+async fn pause_after_error(err: &store::StoreError) {
     if !err.timed_out() {
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,6 @@
-//! The daemon of an entry host as a library: control on one thread, traffic on others.
+//! The daemon of an entry host as a library.
+//!
+//! Actors on one thread make the control decisions; a thread pool of its own serves requests.
 
 pub mod control;
 pub mod host;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon of an entry host.
+//! The `wharflaned` binary: reads the settings, starts logging and runs one entry host.
 
 use std::fs;
 use std::path;
@@ -8,20 +8,20 @@
 use wharflane_daemon::host;
 use wharflane_daemon::settings;
 
-/// The exit code for settings with faults.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for settings that can't be read or contain faults.
+const EXIT_BAD_SETTINGS: u8 = 2;
 
 fn main() -> process::ExitCode {
     let matches = command().get_matches();
     let Some(path) = matches.get_one::<path::PathBuf>("config") else {
-        return process::ExitCode::from(BAD_SETTINGS);
+        return process::ExitCode::from(EXIT_BAD_SETTINGS);
     };
-    let settings = match read(path) {
+    let settings = match load_settings(path) {
         Ok(settings) => settings,
         Err(code) => return code,
     };
-    let _writer = log(&settings);
-    match start(settings, path) {
+    let _writer = init_logging(&settings);
+    match run_host(settings, path) {
         Ok(()) => process::ExitCode::SUCCESS,
         Err(err) => {
             eprintln!("wharflaned: {err:#}");
@@ -30,7 +30,7 @@
     }
 }
 
-/// Returns the command line.
+/// Builds the command line parser.
 fn command() -> clap::Command {
     let config = clap::Arg::new("config")
         .long("config")
@@ -44,9 +44,9 @@
         .arg(config)
 }
 
-/// Reads the settings, or prints every fault with its line.
-fn read(path: &path::Path) -> Result<settings::Settings, process::ExitCode> {
-    let bad = process::ExitCode::from(BAD_SETTINGS);
+/// Reads and checks the settings file; prints every fault with its line on failure.
+fn load_settings(path: &path::Path) -> Result<settings::Settings, process::ExitCode> {
+    let bad = process::ExitCode::from(EXIT_BAD_SETTINGS);
     let text = fs::read_to_string(path).map_err(|err| {
         eprintln!("{}: {err}", path.display());
         bad
@@ -59,16 +59,16 @@
     })
 }
 
-/// Lines that may wait to be written; more are dropped, since nothing may wait for the log.
-const LOG_LINES: usize = 8_192;
+/// Log lines that may be buffered; further ones are dropped, so that no thread blocks on the log.
+const LOG_BUFFER_LINES: usize = 8_192;
 
-/// Starts the log on standard output; it ends, and writes what is left, with the returned guard.
-fn log(settings: &settings::Settings) -> tracing_appender::non_blocking::WorkerGuard {
+/// Starts logging to standard output; dropping the returned guard flushes buffered lines.
+fn init_logging(settings: &settings::Settings) -> tracing_appender::non_blocking::WorkerGuard {
     let (writer, guard) = tracing_appender::non_blocking::NonBlockingBuilder::default()
-        .buffered_lines_limit(LOG_LINES)
+        .buffered_lines_limit(LOG_BUFFER_LINES)
         .lossy(true)
         .finish(std::io::stdout());
-    // Libraries' own lines are off unless the setting names them.
+    // Log lines of the RPC library are off unless `log_level` names it.
     let level = format!("tarpc=off,{}", settings.log_level);
     let filter = tracing_subscriber::EnvFilter::try_new(level)
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info"));
@@ -82,53 +82,57 @@
     guard
 }
 
-/// Runs the host; this thread carries control.
-fn start(settings: settings::Settings, path: &path::Path) -> anyhow::Result<()> {
+/// Runs the host on a single-threaded runtime, which becomes the control thread.
+fn run_host(settings: settings::Settings, path: &path::Path) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .context("can't start the control thread")?;
     runtime.block_on(async {
-        let reloads = tokio::spawn(reload(path.to_owned()));
-        let ran = host::run(settings, asked_to_stop()).await;
+        let reloads = tokio::spawn(watch_reloads(path.to_owned()));
+        let result = host::run(settings, shutdown_signal()).await;
         reloads.abort();
-        ran
+        result
     })?;
     Ok(())
 }
 
-/// Reads the settings again at each hang-up, and tells what came of it.
+/// Checks the settings file again at each SIGHUP and logs the result.
 ///
-/// Ports, peers and times stay as they were at the start: a host that is to take other ones is
-/// stopped and started, which costs its callers nothing.
-async fn reload(path: path::PathBuf) {
+/// Ports, peers and times are fixed at start. To apply changed settings, restart the host; callers
+/// are not affected by a restart.
+async fn watch_reloads(path: path::PathBuf) {
     use tokio::signal::unix;
-    let Ok(mut hangup) = unix::signal(unix::SignalKind::hangup()) else {
-        return tracing::warn!("hang-ups can't be heard");
+    let Ok(mut hangups) = unix::signal(unix::SignalKind::hangup()) else {
+        return tracing::warn!("can't listen for SIGHUP");
     };
     let mut before = fs::read_to_string(&path).ok();
-    while hangup.recv().await.is_some() {
+    while hangups.recv().await.is_some() {
         match fs::read_to_string(&path) {
             Err(err) => tracing::warn!(%err, "reload: the settings can't be read"),
             Ok(text) => {
                 let faults = settings::parse(&text).err().unwrap_or_default().len();
                 let changed = before.as_ref() != Some(&text);
-                tracing::info!(changed, faults, "reload: in force from the next start on");
+                tracing::info!(
+                    changed,
+                    faults,
+                    "reload: settings checked, in force after a restart"
+                );
                 before = Some(text);
             }
         }
     }
 }
 
-/// Ends when the process is asked to stop.
-async fn asked_to_stop() {
+/// Completes when the process receives SIGTERM or an interrupt.
+async fn shutdown_signal() {
     use tokio::signal::unix;
     let Ok(mut term) = unix::signal(unix::SignalKind::terminate()) else {
         return std::future::pending().await;
     };
     tokio::select! {
         _ = term.recv() => {}
-        // Without a handler for it, an interrupt ends the process at once.
+        // Without a handler, an interrupt would end the process at once.
         _ = tokio::signal::ctrl_c() => {}
     }
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,73 +1,73 @@
-//! Counters and histograms for prometheus.
+//! The Prometheus metrics of a host.
 
 use prometheus::core::Collector;
 
-/// The bounds of latency buckets, in seconds.
+/// Upper bounds of the latency buckets, in seconds.
 const LATENCY_BUCKETS: [f64; 14] =
     [0.000_5, 0.001, 0.002_5, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0];
 
-/// A metric that could not be made.
+/// A metric that can't be created or registered.
 #[derive(Debug, thiserror::Error)]
-#[error("metric can't be builder")]
+#[error("metric can't be registered")]
 pub struct MetricError(#[from] prometheus::Error);
 
 /// All metrics of a host.
 #[derive(Clone, Debug)]
 pub struct Metrics {
-    /// Where they are gathered from.
+    /// Registry from which all metrics are gathered.
     registry: prometheus::Registry,
-    /// Requests by service and outcome.
+    /// Finished requests by service and outcome.
     pub requests: prometheus::IntCounterVec,
     /// Requests given up, by service and reason.
     pub gave_up: prometheus::IntCounterVec,
-    /// Failed tries by service and failure.
+    /// Failed attempts by service and kind of failure.
     pub failures: prometheus::IntCounterVec,
     /// Retries by service.
     pub retries: prometheus::IntCounterVec,
-    /// Latency of answers by service, in seconds.
+    /// Time from a request to the end of its answer by service, in seconds.
     pub latency: prometheus::HistogramVec,
-    /// Answers that broke off after their head was passed on, by service.
+    /// Answers that broke off after their head was forwarded, by service.
     pub broken: prometheus::IntCounterVec,
-    /// Requests under way.
+    /// Requests in flight.
     pub in_flight: prometheus::IntGauge,
-    /// Waiting requests by service.
+    /// Queued requests by service.
     pub queued: prometheus::IntGaugeVec,
     /// Endpoints by service and state.
     pub endpoints: prometheus::IntGaugeVec,
     /// Retries left in the budget, by service.
     pub retry_budget: prometheus::IntGaugeVec,
-    /// The configuration revision in force.
+    /// Configuration revision in force.
     pub revision: prometheus::IntGauge,
-    /// Whether the platform answered last.
+    /// 1 if the last call to the platform was answered, else 0.
     pub platform_up: prometheus::IntGauge,
-    /// Calls of the platform by kind and result.
+    /// Calls to the platform by kind and result.
     pub platform_calls: prometheus::IntCounterVec,
-    /// Messages to peers, by why they are sent.
+    /// Gossip messages sent to peers, by cause.
     pub gossip: prometheus::IntCounterVec,
-    /// Halls held, by hall.
+    /// 1 for each hall that this host holds, else 0.
     pub hall_held: prometheus::IntGaugeVec,
-    /// Closed halls of the job service: when each was heard to be closed, in seconds since 1970.
+    /// When this host learned that a hall is closed, in seconds since 1970; job service only.
     pub hall_closed: prometheus::IntGaugeVec,
-    /// How much later than due the holder of the job service took its last tick, in milliseconds.
+    /// Delay of the job service's last tick behind its due time, in milliseconds.
     pub holder_lag_ms: prometheus::IntGauge,
-    /// Jobs given up since workers crashed under a task of theirs, while this host has held the job service.
+    /// Jobs given up because workers crashed under their tasks, since this host took the lease.
     pub jobs_given_up: prometheus::IntGauge,
-    /// How often a worker was found to have started again under its id, while this host holds the domain.
+    /// Workers found to have restarted under the same id, since this host took the lease.
     pub workers_restarted: prometheus::IntGauge,
-    /// Commits by hall.
+    /// Commits by hall, since this host took its lease.
     pub commits: prometheus::IntGaugeVec,
-    /// Records in commits, by hall.
+    /// Records in those commits, by hall.
     pub commit_records: prometheus::IntGaugeVec,
-    /// Bytes in commits, by hall.
+    /// Bytes in those commits, by hall.
     pub commit_bytes: prometheus::IntGaugeVec,
     /// Evictions by hall and cause.
     pub evictions: prometheus::IntGaugeVec,
-    /// Waiting tasks by hall.
+    /// Tasks waiting for placement, by hall.
     pub waiting: prometheus::IntGaugeVec,
 }
 
 impl Metrics {
-    /// Makes all metrics.
+    /// Creates and registers all metrics.
     ///
     /// # Errors
     /// Returns `MetricError` for names that clash.
@@ -89,20 +89,20 @@
                 &["service", "failure"],
             )?,
             retries: builder.counter("retries_total", "Retries.", &["service"])?,
-            latency: builder.keep(latency)?,
+            latency: builder.register(latency)?,
             broken: builder.counter("broken_answers_total", "Answers cut short.", &["service"])?,
-            in_flight: builder.keep(prometheus::IntGauge::new(
+            in_flight: builder.register(prometheus::IntGauge::new(
                 "wharflane_in_flight_requests",
                 "Requests under way.",
             )?)?,
             queued: builder.gauge("queued_requests", "Waiting requests.", &["service"])?,
             endpoints: builder.gauge("endpoints", "Endpoints.", &["service", "state"])?,
             retry_budget: builder.gauge("retry_budget", "Retries left.", &["service"])?,
-            revision: builder.keep(prometheus::IntGauge::new(
+            revision: builder.register(prometheus::IntGauge::new(
                 "wharflane_config_revision",
                 "Configuration revision in force.",
             )?)?,
-            platform_up: builder.keep(prometheus::IntGauge::new(
+            platform_up: builder.register(prometheus::IntGauge::new(
                 "wharflane_platform_up",
                 "Whether the platform answered last.",
             )?)?,
@@ -118,15 +118,15 @@
                 "When the hall was heard to be closed, since 1970.",
                 &["hall"],
             )?,
-            holder_lag_ms: builder.keep(prometheus::IntGauge::new(
+            holder_lag_ms: builder.register(prometheus::IntGauge::new(
                 "wharflane_holder_lag_ms",
                 "Lag of the job service's holder.",
             )?)?,
-            jobs_given_up: builder.keep(prometheus::IntGauge::new(
+            jobs_given_up: builder.register(prometheus::IntGauge::new(
                 "wharflane_jobs_given_up",
                 "Jobs given up since workers crashed under a task, since the lease was taken.",
             )?)?,
-            workers_restarted: builder.keep(prometheus::IntGauge::new(
+            workers_restarted: builder.register(prometheus::IntGauge::new(
                 "wharflane_workers_restarted",
                 "Workers found to have started again under their id, since the lease was taken.",
             )?)?,
@@ -139,7 +139,7 @@
         })
     }
 
-    /// Returns all metrics in the text format.
+    /// Returns all metrics in the Prometheus text format.
     #[must_use]
     pub fn text(&self) -> String {
         let encoder = prometheus::TextEncoder::new();
@@ -147,14 +147,14 @@
     }
 }
 
-/// Makes metrics and registers them.
+/// Creates metrics and registers them.
 struct Builder<'a> {
-    /// Where they are gathered from.
+    /// Registry that receives the metrics.
     registry: &'a prometheus::Registry,
 }
 
 impl Builder<'_> {
-    /// Makes a counter with labels.
+    /// Creates and registers a counter with labels.
     fn counter(
         &self,
         name: &str,
@@ -162,10 +162,10 @@
         labels: &[&str],
     ) -> Result<prometheus::IntCounterVec, MetricError> {
         let opts = prometheus::Opts::new(format!("wharflane_{name}"), help);
-        self.keep(prometheus::IntCounterVec::new(opts, labels)?)
+        self.register(prometheus::IntCounterVec::new(opts, labels)?)
     }
 
-    /// Makes a gauge with labels.
+    /// Creates and registers a gauge with labels.
     fn gauge(
         &self,
         name: &str,
@@ -173,11 +173,11 @@
         labels: &[&str],
     ) -> Result<prometheus::IntGaugeVec, MetricError> {
         let opts = prometheus::Opts::new(format!("wharflane_{name}"), help);
-        self.keep(prometheus::IntGaugeVec::new(opts, labels)?)
+        self.register(prometheus::IntGaugeVec::new(opts, labels)?)
     }
 
     /// Registers a metric.
-    fn keep<M: Collector + Clone + 'static>(&self, metric: M) -> Result<M, MetricError> {
+    fn register<M: Collector + Clone + 'static>(&self, metric: M) -> Result<M, MetricError> {
         self.registry.register(Box::new(metric.clone()))?;
         Ok(metric)
     }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,4 +1,7 @@
-//! The settings of a host, checked as a whole before anything is opened.
+//! The settings of a host.
+//!
+//! A settings file is checked as a whole before any port is opened; `parse` returns every fault
+//! with its line.
 
 use std::collections;
 use std::net;
@@ -7,25 +10,25 @@
 
 use wharflane::{hall, id, interference, lease, placement, toml_read};
 
-/// The largest settings file, in bytes.
+/// Largest size of a settings file, in bytes.
 const MAX_TEXT_BYTES: usize = 64 << 10;
 
-/// A key whose value is a whole number.
+/// A settings key whose value is an integer.
 #[derive(Clone, Debug)]
 pub struct Number {
-    /// The table.
+    /// Table that the key belongs to.
     pub table: &'static str,
-    /// The key, which ends with its unit where it has one.
+    /// Name of the key, which ends with its unit if it has one.
     pub key: &'static str,
-    /// The value where the key is absent.
+    /// Value if the key is absent.
     pub default: u64,
-    /// The values allowed.
+    /// Allowed values.
     pub range: ops::RangeInclusive<u64>,
-    /// What it is for.
+    /// One-line description, as docs/SETTINGS.md has it.
     pub about: &'static str,
 }
 
-/// Declares a key.
+/// Declares an integer key.
 const fn number(
     table: &'static str,
     key: &'static str,
@@ -36,7 +39,7 @@
     Number { table, key, default, range, about }
 }
 
-/// All keys whose value is a whole number; docs/SETTINGS.md lists the same.
+/// All integer keys; docs/SETTINGS.md lists the same ones.
 pub const NUMBERS: &[Number] = &[
     number("platform", "timeout_ms", 1_000, 10..=60_000, "How long a call may take."),
     number("jobs", "domains", 1, 1..=1, "Parts that jobs are dealt over, each with a holder."),
@@ -96,7 +99,7 @@
     number("traffic", "endpoint_slots", 8, 1..=10_000, "Requests an endpoint runs at once."),
     number("traffic", "endpoint_connections", 64, 1..=10_000, "Connections an endpoint takes."),
     number("traffic", "connect_timeout_ms", 500, 1..=60_000, "How long a connection may take."),
-    // Shorter than servers keep idle connections by their defaults, of which the shortest known is 5 s.
+    // Below the shortest known default of servers for idle connections, which is 5 s.
     number("traffic", "idle_timeout_ms", 4_000, 1..=600_000, "How long a connection may be idle."),
     number("traffic", "body_limit_bytes", 1 << 20, 1..=1 << 30, "Largest body of a request."),
     number("traffic", "body_timeout_ms", 10_000, 1..=600_000, "How long a body may take."),
@@ -141,37 +144,37 @@
     number("control", "gossip_ms", 1_000, 10..=60_000, "Time between messages to a peer."),
 ];
 
-/// What the host has; nothing where it is not said.
+/// The resources of this host; `None` if the settings don't state them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Limits {
-    /// The processors, in thousandths of a core.
+    /// CPU in thousandths of a core.
     pub cpu_milli: Option<u64>,
-    /// The link, in whole megabits a second.
+    /// Bandwidth of the network link in whole megabits per second.
     pub link_mbps: Option<u64>,
 }
 
-/// How logs are written.
+/// Output format of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Lines for people.
+    /// Plain text lines.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// What a host schedules, and where that is kept.
+/// What a host schedules, and which service stores its state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Services and jobs of the operators' file, and the requests to those services.
+    /// The services and jobs declared in the operators' file, and the requests to those services.
     Declared {
-        /// Where the platform answers.
+        /// Address of the platform.
         platform: net::SocketAddr,
     },
-    /// Jobs that callers hand in.
+    /// Jobs submitted by callers.
     Jobs {
-        /// Where the store answers.
+        /// Address of the store.
         store: net::SocketAddr,
-        /// Where the service answers that knows which workers may run a step.
+        /// Address of the advisor, which knows which workers may run a step; `None` to do without.
         advisor: Option<net::SocketAddr>,
     },
 }
@@ -179,53 +182,53 @@
 /// The settings of a host.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The name of this host.
+    /// Name of this host, unique among its peers.
     pub host: id::HostId,
-    /// The hall that it stands in.
+    /// Hall in which this host runs.
     pub hall: id::HallId,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub caller_addr: net::SocketAddr,
-    /// Where operators connect.
+    /// Address on which operators connect.
     pub operator_addr: net::SocketAddr,
-    /// Where peers connect.
+    /// Address on which peers connect.
     pub peer_addr: net::SocketAddr,
-    /// Peers to ask while the platform's list can't be read.
+    /// Peers to ask while the platform's member list can't be read.
     pub seed_peers: Vec<net::SocketAddr>,
     /// What the host schedules.
     pub mode: Mode,
-    /// What the host has.
+    /// Resources of the host.
     pub limits: Limits,
-    /// How logs are written.
+    /// Output format of the log.
     pub log_format: LogFormat,
-    /// Which lines are written.
+    /// Log filter, in the syntax of `tracing_subscriber::EnvFilter`.
     pub log_level: String,
-    /// The whole numbers by table and key.
+    /// Integer values by table and key.
     numbers: collections::BTreeMap<(&'static str, &'static str), u64>,
 }
 
 impl Settings {
-    /// Returns a whole number.
+    /// Returns an integer value.
     ///
     /// # Panics
-    /// Panics for a key that `NUMBERS` does not have.
+    /// Panics for a key that is not in `NUMBERS`.
     #[must_use]
     pub fn number(&self, table: &'static str, key: &'static str) -> u64 {
         self.numbers[&(table, key)]
     }
 
-    /// Returns a time in milliseconds.
+    /// Returns a value in milliseconds as a duration.
     #[must_use]
     pub fn time(&self, table: &'static str, key: &'static str) -> time::Duration {
         time::Duration::from_millis(self.number(table, key))
     }
 
-    /// Returns a size or count.
+    /// Returns a size or count, saturated at `usize::MAX`.
     #[must_use]
     pub fn count(&self, table: &'static str, key: &'static str) -> usize {
         usize::try_from(self.number(table, key)).unwrap_or(usize::MAX)
     }
 
-    /// Returns how the engines of halls are timed.
+    /// Returns the settings of the hall engines.
     #[must_use]
     pub fn hall_settings(&self) -> hall::Settings {
         let control = |key| self.time("control", key);
@@ -253,10 +256,10 @@
     }
 }
 
-/// Reads and checks settings.
+/// Parses and checks settings.
 ///
 /// # Errors
-/// Returns every fault by its line.
+/// Returns every fault with its line.
 pub fn parse(text: &str) -> Result<Settings, Vec<toml_read::Fault>> {
     let doc = toml_read::Doc::new(text);
     let settings = doc.root(MAX_TEXT_BYTES).and_then(|mut root| {
@@ -271,7 +274,7 @@
     }
 }
 
-/// Reads all tables.
+/// Reads all tables; `None` if a required value is missing.
 fn read(doc: &toml_read::Doc<'_>, root: &mut toml_read::Table<'_, '_>) -> Option<Settings> {
     let host = root.need_name("host");
     let hall = root.need_name("hall");
@@ -320,7 +323,7 @@
     })
 }
 
-/// Reads the peers to ask while the platform's list can't be read.
+/// Reads the addresses of the seed peers and records a fault for each that does not parse.
 fn read_seeds(
     doc: &toml_read::Doc<'_>,
     root: &mut toml_read::Table<'_, '_>,
@@ -338,7 +341,7 @@
     seeds
 }
 
-/// Reads the whole numbers of one table.
+/// Reads the integer keys of one table.
 fn read_numbers(
     name: &'static str,
     table: &mut toml_read::Table<'_, '_>,
@@ -351,7 +354,7 @@
     .collect()
 }
 
-/// Notes a lease of tasks that would lapse while their hall changes hands.
+/// Records a fault if task leases would expire while their hall changes its holder.
 fn check_leases(
     table: &toml_read::Table<'_, '_>,
     numbers: &collections::BTreeMap<(&'static str, &'static str), u64>,
@@ -372,7 +375,7 @@
     }
 }
 
-/// Notes a port that is used twice.
+/// Records a fault for each address that is used twice.
 fn check_ports(table: &toml_read::Table<'_, '_>, addrs: [Option<net::SocketAddr>; 3]) {
     let given: Vec<net::SocketAddr> = addrs.into_iter().flatten().collect();
     for (at, addr) in given.iter().enumerate() {
@@ -383,7 +386,7 @@
     }
 }
 
-/// Reads what the host has.
+/// Reads the resources of the host.
 fn read_limits(root: &mut toml_read::Table<'_, '_>) -> Limits {
     let mut table = root.table("limits");
     let limits = Limits {
@@ -394,7 +397,7 @@
     limits
 }
 
-/// Reads how logs are written.
+/// Reads the output format of the log.
 fn read_log_format(doc: &toml_read::Doc<'_>, table: &mut toml_read::Table<'_, '_>) -> LogFormat {
     match table.text("format") {
         None => LogFormat::Text,
