--- a/crates/daemon/src/traffic/balancer.rs
+++ b/crates/daemon/src/traffic/balancer.rs
@@ -1,4 +1,8 @@
-//! The balancer of one service: its endpoints, its queue and its retry budget.
+//! The balancer of one service: its endpoints, its queue of waiting requests and its retry budget.
+//!
+//! This host has at most `cap` requests in flight at one endpoint; further ones wait in the queue,
+//! and are rejected once they can no longer be answered before their deadline. A retry avoids the
+//! endpoint that failed it.
 
 use std::collections;
 use std::net;
@@ -12,163 +16,164 @@
 use super::Limits;
 use crate::metrics;
 
-/// An endpoint as this host uses it.
+/// An endpoint with what this host knows about it.
 #[derive(Debug)]
-struct Slot {
-    /// The hall.
+struct EndpointState {
+    /// Hall of the endpoint's worker.
     hall: id::HallId,
-    /// The endpoint.
+    /// Entry of the endpoint table.
     endpoint: endpoints::Endpoint,
-    /// What is known of it.
+    /// Moving averages, failures in a row and requests in flight.
     health: route::Health,
-    /// The latencies since the last digest.
+    /// Latencies since the last digest.
     latencies: latency::Histogram,
-    /// The failures since the last digest.
+    /// Number of failures since the last digest.
     failures: u32,
 }
 
-/// What a balancer holds under its lock.
+/// State of a balancer under its lock.
 #[derive(Debug)]
 struct State {
-    /// What the configuration says.
+    /// Declaration of the service; `None` before the first update.
     service: Option<desired::Service>,
-    /// The endpoints.
-    slots: Vec<Slot>,
-    /// The position of each endpoint.
-    at: collections::HashMap<net::SocketAddr, usize>,
-    /// The most requests of this host under way at one endpoint.
+    /// Endpoints of the service.
+    endpoints: Vec<EndpointState>,
+    /// Index into `endpoints` by address.
+    index: collections::HashMap<net::SocketAddr, usize>,
+    /// Largest number of this host's requests in flight at one endpoint.
     cap: u32,
-    /// The requests that wait.
+    /// Requests that wait for an endpoint.
     queue: queue::Queue<Waiter>,
-    /// The retry budget.
+    /// Budget that bounds retries to a share of first attempts.
     budget: retry::Budget,
 }
 
-/// A request that waits for a place.
+/// A request that waits for an endpoint.
 #[derive(Debug)]
 struct Waiter {
-    /// The endpoint that it avoids.
+    /// Endpoint that the request avoids.
     avoid: Avoid,
-    /// Where it is told.
+    /// Channel on which the request receives its permit or rejection.
     sender: oneshot::Sender<Grant>,
 }
 
-/// What a request avoids that has been tried before.
+/// The endpoint that a request avoids after earlier attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Avoid {
-    /// Nothing: this is its first try.
+    /// None: this is its first attempt.
     Nothing,
-    /// An endpoint that was full, unless no other has room at once.
+    /// An endpoint that was full; used again if no other has room at once.
     Full(net::SocketAddr),
-    /// An endpoint that failed it, as long as any other is in use: one that fails fast has room at once and would
-    /// take all tries of requests that wait.
+    /// An endpoint that failed the request; avoided as long as any other is in use. An endpoint
+    /// that fails fast always has room and would otherwise take all attempts of waiting requests.
     Failed(net::SocketAddr),
 }
 
-/// How many average service times are kept free before a deadline.
-const SERVICE_TIMES_KEPT: u32 = 2;
+/// Number of average service times that must be left before a request's deadline.
+const SERVICE_TIME_MARGIN: u32 = 2;
 
 impl State {
-    /// Returns how long before its deadline a request must be taken.
+    /// Returns how long before its deadline a request must be sent.
     ///
-    /// Only answers count: the penalty of one endpoint that fails fast would soon be longer than any deadline, and
-    /// every request that has to wait would be refused though the others are well.
+    /// Only answers count. The latency penalty of an endpoint that fails fast would soon exceed any
+    /// deadline, and every request that has to wait would be rejected although the other endpoints
+    /// are healthy.
     fn service_time(&self) -> time::Duration {
-        let answers = self.slots.iter().map(|slot| slot.health.answer_us());
-        let mean_us = answers.sum::<f64>() / self.slots.len().max(1) as f64;
-        time::Duration::from_micros(mean_us as u64) * SERVICE_TIMES_KEPT
+        let answers = self.endpoints.iter().map(|entry| entry.health.answer_us());
+        let mean_us = answers.sum::<f64>() / self.endpoints.len().max(1) as f64;
+        time::Duration::from_micros(mean_us as u64) * SERVICE_TIME_MARGIN
     }
 }
 
-/// What a waiting request is told.
+/// The result of waiting in the queue.
 #[derive(Debug)]
 pub enum Grant {
-    /// It may go to an endpoint.
-    Go(Permit),
-    /// It is refused.
+    /// The request may be sent to an endpoint.
+    Granted(Permit),
+    /// The request is rejected.
     Refused(queue::Refused),
 }
 
-/// Why a request gets no endpoint.
+/// Why a request gets no permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoPermit {
-    /// There is no endpoint.
+    /// Every endpoint is leaving, or there is none.
     NoEndpoint,
-    /// The queue can't serve it in time.
+    /// The queue can't serve the request before its deadline.
     Overloaded(queue::Refused),
-    /// It waited until its deadline.
+    /// The request waited until its deadline.
     Expired,
 }
 
 /// The balancer of one service.
 #[derive(Debug)]
 pub struct Balancer {
-    /// The service.
+    /// Service that is balanced.
     name: id::ServiceId,
-    /// The bounds.
+    /// Limits from the settings.
     limits: Limits,
-    /// The metrics.
+    /// Metrics of this host.
     metrics: metrics::Metrics,
-    /// What changes.
+    /// Endpoints, queue and budget.
     state: sync::Mutex<State>,
 }
 
-/// A request's place at an endpoint; the place is free again when this is dropped.
+/// The right to run one request at an endpoint; dropping it releases the capacity.
 #[derive(Debug)]
 pub struct Permit {
-    /// The balancer.
+    /// Balancer to which the capacity is returned.
     balancer: sync::Arc<Balancer>,
-    /// The endpoint.
+    /// Address of the endpoint.
     pub addr: net::SocketAddr,
-    /// How it ended.
-    end: Completion,
-    /// The clock's reading when it ended.
-    now: time::Duration,
+    /// How the request ended, as far as it is known.
+    completion: Completion,
+    /// Clock reading at the end of the request; that of the grant if the result is not known.
+    ended_at: time::Duration,
 }
 
-/// How a place at an endpoint was used.
+/// How a permit was used.
 #[derive(Clone, Copy, Debug)]
 enum Completion {
-    /// The caller went away, or nothing is known.
+    /// The caller disconnected, or the result is not known.
     Open,
-    /// The endpoint answered.
+    /// The endpoint answered with this latency.
     Answered(time::Duration),
     /// The endpoint failed.
     Failed,
-    /// The endpoint refused it because it was full.
+    /// The endpoint rejected the request because it was full.
     Refused,
 }
 
 impl Permit {
-    /// Ends the place with an answer.
+    /// Releases the permit after an answer.
     pub fn answered(mut self, latency: time::Duration, now: time::Duration) {
-        self.end = Completion::Answered(latency);
-        self.now = now;
+        self.completion = Completion::Answered(latency);
+        self.ended_at = now;
     }
 
-    /// Ends the place with a failure.
+    /// Releases the permit after a failure.
     pub fn failed(mut self, failure: outcome::Failure, now: time::Duration) {
-        self.end = match failure {
+        self.completion = match failure {
             outcome::Failure::Refused => Completion::Refused,
             _ => Completion::Failed,
         };
-        self.now = now;
+        self.ended_at = now;
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.balancer.release(self.addr, self.end, self.now);
+        self.balancer.release(self.addr, self.completion, self.ended_at);
     }
 }
 
 impl Balancer {
-    /// Makes a balancer without endpoints.
+    /// Creates a balancer without endpoints.
     pub fn new(name: id::ServiceId, limits: Limits, metrics: metrics::Metrics) -> Self {
         let state = State {
             service: None,
-            slots: Vec::new(),
-            at: collections::HashMap::new(),
+            endpoints: Vec::new(),
+            index: collections::HashMap::new(),
             cap: 1,
             queue: queue::Queue::new(limits.queue),
             budget: retry::Budget::new(limits.retry_share_milli, limits.retry_burst),
@@ -176,7 +181,7 @@
         Self { name, limits, metrics, state: sync::Mutex::new(state) }
     }
 
-    /// Takes the endpoints in force; what is known of those that stay is kept.
+    /// Replaces the endpoints; what is known about those that stay is kept.
     pub fn update(
         self: &sync::Arc<Self>,
         service: &desired::Service,
@@ -184,36 +189,37 @@
         cap: u32,
         now: time::Duration,
     ) {
-        let woken = {
+        let grants = {
             let mut state = self.lock();
-            let mut before: collections::HashMap<net::SocketAddr, Slot> =
-                state.slots.drain(..).map(|slot| (slot.endpoint.addr, slot)).collect();
+            let mut before: collections::HashMap<net::SocketAddr, EndpointState> =
+                state.endpoints.drain(..).map(|entry| (entry.endpoint.addr, entry)).collect();
             for (hall, endpoint) in endpoints {
                 let known = before.remove(&endpoint.addr);
-                let same = known.filter(|slot| slot.endpoint.task == endpoint.task);
-                let mut slot = same.unwrap_or_else(|| Slot::new(hall, endpoint));
-                slot.endpoint.leaving = endpoint.leaving;
-                state.slots.push(slot);
+                let same = known.filter(|entry| entry.endpoint.task == endpoint.task);
+                let mut entry = same.unwrap_or_else(|| EndpointState::new(hall, endpoint));
+                entry.endpoint.leaving = endpoint.leaving;
+                state.endpoints.push(entry);
             }
-            let at = state.slots.iter().enumerate().map(|(at, slot)| (slot.endpoint.addr, at));
-            state.at = at.collect();
+            let index =
+                state.endpoints.iter().enumerate().map(|(at, entry)| (entry.endpoint.addr, at));
+            state.index = index.collect();
             state.service = Some(service.clone());
             state.cap = cap;
-            self.grant_all(&mut state, now)
+            self.grant_waiting(&mut state, now)
         };
-        wake(woken);
+        notify(grants);
     }
 
-    /// Returns the configuration of the service.
+    /// Returns the declaration of the service.
     pub fn service(&self) -> Option<desired::Service> {
         self.lock().service.clone()
     }
 
-    /// Waits for a place at an endpoint, and not at one that the request avoids.
+    /// Waits for a permit at an endpoint, other than the one that the request avoids if possible.
     ///
     /// # Errors
     /// Returns `NoPermit` as soon as it is clear that the request can't be served in time.
-    pub async fn enter(
+    pub async fn acquire(
         self: &sync::Arc<Self>,
         priority: u32,
         now: time::Duration,
@@ -224,11 +230,11 @@
         let waiting = {
             let mut state = self.lock();
             if state.queue.is_empty()
-                && let Some(addr) = reserve_beside(&mut state, now, avoid)
+                && let Some(addr) = reserve_avoiding(&mut state, now, avoid)
             {
                 return Ok(self.permit(addr, now));
             }
-            if !state.slots.iter().any(|slot| !slot.endpoint.leaving) {
+            if !state.endpoints.iter().any(|entry| !entry.endpoint.leaving) {
                 return Err(NoPermit::NoEndpoint);
             }
             let (sender, receiver) = oneshot::channel();
@@ -243,196 +249,204 @@
             }
             receiver
         };
-        let patience = deadline.saturating_sub(now);
-        match tokio::time::timeout(patience, waiting).await {
-            Ok(Ok(Grant::Go(permit))) => Ok(permit),
+        let timeout = deadline.saturating_sub(now);
+        match tokio::time::timeout(timeout, waiting).await {
+            Ok(Ok(Grant::Granted(permit))) => Ok(permit),
             Ok(Ok(Grant::Refused(refused))) => Err(NoPermit::Overloaded(refused)),
             Ok(Err(_)) | Err(_) => Err(NoPermit::Expired),
         }
     }
 
-    /// Notes a first try in the retry budget.
-    pub fn first_try(&self) {
+    /// Credits the retry budget with a first attempt.
+    pub fn record_first_attempt(&self) {
         self.lock().budget.record_first_attempt();
     }
 
-    /// Takes a retry out of the budget.
-    pub fn may_retry(&self) -> bool {
+    /// Takes one retry out of the budget; returns whether there was one.
+    pub fn take_retry(&self) -> bool {
         self.lock().budget.try_withdraw()
     }
 
-    /// Marks an endpoint that said it is leaving.
-    pub fn leaving(&self, addr: net::SocketAddr) {
+    /// Marks an endpoint that announced that it is leaving.
+    pub fn mark_leaving(&self, addr: net::SocketAddr) {
         let mut state = self.lock();
-        if let Some(at) = state.at.get(&addr).copied() {
-            state.slots[at].endpoint.leaving = true;
+        if let Some(at) = state.index.get(&addr).copied() {
+            state.endpoints[at].endpoint.leaving = true;
         }
     }
 
-    /// Returns what was seen since the last call.
-    pub fn take_seen(&self, now: time::Duration) -> Vec<(id::HallId, digest::EndpointStats)> {
+    /// Returns the statistics since the last call and updates the gauges.
+    pub fn take_stats(&self, now: time::Duration) -> Vec<(id::HallId, digest::EndpointStats)> {
         let mut state = self.lock();
-        self.gauges(&state, now);
+        self.update_gauges(&state, now);
         let target_ms = state.service.as_ref().map_or(u64::MAX, |s| s.latency_target_ms);
         let mut all = Vec::new();
-        for slot in &mut state.slots {
-            let latencies = slot.latencies.take();
-            let failures = std::mem::take(&mut slot.failures);
+        for entry in &mut state.endpoints {
+            let latencies = entry.latencies.take();
+            let failures = std::mem::take(&mut entry.failures);
             let p95_us = latencies.quantile_us(0.95);
-            // No news is good news: only what misses its target is told.
+            // Only endpoints that miss the latency target or fail are reported.
             if p95_us <= target_ms.saturating_mul(1_000) && failures == 0 {
                 continue;
             }
             let seen = digest::EndpointStats {
-                task: slot.endpoint.task.clone(),
-                in_flight: slot.health.in_flight,
+                task: entry.endpoint.task.clone(),
+                in_flight: entry.health.in_flight,
                 answers: latencies.total(),
                 failures,
                 p95_us,
             };
-            all.push((slot.hall.clone(), seen));
+            all.push((entry.hall.clone(), seen));
         }
         all
     }
 
-    /// Returns the state of the balancer for the state dump.
+    /// Returns the balancer's part of the state dump.
     pub fn dump(&self, now: time::Duration) -> BalancerDump {
         let state = self.lock();
-        let endpoint = |slot: &Slot| EndpointDump {
-            task: slot.endpoint.task.clone(),
-            addr: slot.endpoint.addr,
-            leaving: slot.endpoint.leaving,
-            used: format!("{:?}", slot.health.availability(now)).to_lowercase(),
-            in_flight: slot.health.in_flight,
-            latency_us: slot.health.latency_us(),
+        let endpoint = |entry: &EndpointState| EndpointDump {
+            task: entry.endpoint.task.clone(),
+            addr: entry.endpoint.addr,
+            leaving: entry.endpoint.leaving,
+            used: format!("{:?}", entry.health.availability(now)).to_lowercase(),
+            in_flight: entry.health.in_flight,
+            latency_us: entry.health.latency_us(),
         };
         BalancerDump {
             service: self.name.clone(),
             cap: state.cap,
             queued: state.queue.len(),
             retries_left: state.budget.left(),
-            endpoints: state.slots.iter().map(endpoint).collect(),
+            endpoints: state.endpoints.iter().map(endpoint).collect(),
         }
     }
 
-    /// Frees a place and gives it to the next request that waits.
+    /// Returns a permit's capacity and grants it to the next waiting request.
     fn release(
         self: &sync::Arc<Self>,
         addr: net::SocketAddr,
-        end: Completion,
+        completion: Completion,
         now: time::Duration,
     ) {
-        let woken = {
+        let grants = {
             let mut state = self.lock();
-            self.settle(&mut state, addr, end, now);
-            self.grant_all(&mut state, now)
+            self.record_completion(&mut state, addr, completion, now);
+            self.grant_waiting(&mut state, now)
         };
-        wake(woken);
+        notify(grants);
     }
 
-    /// Notes how a place was used.
-    fn settle(
+    /// Records how a permit was used.
+    fn record_completion(
         &self,
         state: &mut State,
         addr: net::SocketAddr,
-        end: Completion,
+        completion: Completion,
         now: time::Duration,
     ) {
-        let left = |slot: &Slot| slot.health.availability(now) == route::Availability::Ejected;
-        let ejected = state.slots.iter().filter(|slot| left(slot)).count();
+        let is_ejected =
+            |entry: &EndpointState| entry.health.availability(now) == route::Availability::Ejected;
+        let ejected = state.endpoints.iter().filter(|entry| is_ejected(entry)).count();
         let share = self.limits.eject_share_percent;
-        let may_eject = route::may_eject(ejected, state.slots.len(), share);
-        let Some(at) = state.at.get(&addr).copied() else {
+        let may_eject = route::may_eject(ejected, state.endpoints.len(), share);
+        let Some(at) = state.index.get(&addr).copied() else {
             return;
         };
-        let slot = &mut state.slots[at];
-        slot.health.in_flight = slot.health.in_flight.saturating_sub(1);
-        match end {
+        let entry = &mut state.endpoints[at];
+        entry.health.in_flight = entry.health.in_flight.saturating_sub(1);
+        match completion {
             Completion::Open => {}
             Completion::Answered(latency) => {
-                slot.health.answered(latency);
-                slot.latencies.record(latency);
+                entry.health.answered(latency);
+                entry.latencies.record(latency);
             }
             Completion::Failed => {
-                slot.health.failed(now, may_eject);
-                slot.failures += 1;
+                entry.health.failed(now, may_eject);
+                entry.failures += 1;
             }
-            Completion::Refused => slot.health.refused(now),
+            Completion::Refused => entry.health.refused(now),
         }
     }
 
-    /// Gives free places to waiting requests.
-    fn grant_all(
+    /// Grants free capacity to waiting requests; returns the grants to be sent.
+    fn grant_waiting(
         self: &sync::Arc<Self>,
         state: &mut State,
         now: time::Duration,
     ) -> Vec<(oneshot::Sender<Grant>, Grant)> {
-        let mut woken = Vec::new();
+        let mut grants = Vec::new();
         while !state.queue.is_empty() {
             let Some(addr) = reserve(state, now, None) else {
                 break;
             };
-            let mut found = self.grant(state, addr, now, &mut woken);
+            let mut found = self.grant(state, addr, now, &mut grants);
             if !found && let Some(other) = reserve(state, now, Some(addr)) {
-                // All that wait avoid the first place, so the next of them takes any other.
-                found = self.grant(state, other, now, &mut woken);
+                // All waiting requests avoid the first endpoint, so the next of them takes any
+                // other.
+                found = self.grant(state, other, now, &mut grants);
             }
             if !found {
                 break;
             }
         }
-        woken
+        grants
     }
 
-    /// Gives a reserved place to the next request that does not avoid it, or gives it back; returns whether
-    /// there was one.
+    /// Grants a reservation to the next request that does not avoid the endpoint, or releases it;
+    /// returns whether there was such a request.
     fn grant(
         self: &sync::Arc<Self>,
         state: &mut State,
         addr: net::SocketAddr,
         now: time::Duration,
-        woken: &mut Vec<(oneshot::Sender<Grant>, Grant)>,
+        grants: &mut Vec<(oneshot::Sender<Grant>, Grant)>,
     ) -> bool {
-        let only = !others_in_use(state, addr, now);
-        let fits = |waiter: &Waiter| only || waiter.avoid != Avoid::Failed(addr);
-        let (late, next) = state.queue.pop_for(now, fits);
+        let only_choice = !others_in_use(state, addr, now);
+        let fits = |waiter: &Waiter| only_choice || waiter.avoid != Avoid::Failed(addr);
+        let (expired, next) = state.queue.pop_for(now, fits);
         let refused = queue::Refused { retry_after: state.queue.retry_after() };
-        woken.extend(late.into_iter().map(|late| (late.sender, Grant::Refused(refused))));
+        grants.extend(expired.into_iter().map(|expired| (expired.sender, Grant::Refused(refused))));
         let found = next.is_some();
         match next {
-            Some(next) => woken.push((next.sender, Grant::Go(self.permit(addr, now)))),
-            None => unreserve(state, addr),
+            Some(next) => grants.push((next.sender, Grant::Granted(self.permit(addr, now)))),
+            None => cancel_reservation(state, addr),
         }
         found
     }
 
-    /// Makes the place at an endpoint that was reserved.
+    /// Creates the permit for a reservation.
     fn permit(self: &sync::Arc<Self>, addr: net::SocketAddr, now: time::Duration) -> Permit {
-        Permit { balancer: sync::Arc::clone(self), addr, end: Completion::Open, now }
+        Permit {
+            balancer: sync::Arc::clone(self),
+            addr,
+            completion: Completion::Open,
+            ended_at: now,
+        }
     }
 
-    /// Looks whether time alone has made a place free, as at the end of an ejection.
+    /// Grants capacity that became free by time alone, such as at the end of an ejection.
     pub fn tick(self: &sync::Arc<Self>, now: time::Duration) {
-        let woken = {
+        let grants = {
             let mut state = self.lock();
-            self.grant_all(&mut state, now)
+            self.grant_waiting(&mut state, now)
         };
-        wake(woken);
+        notify(grants);
     }
 
-    /// Brings the gauges up to date.
-    fn gauges(&self, state: &State, now: time::Duration) {
+    /// Updates the gauges of the service.
+    fn update_gauges(&self, state: &State, now: time::Duration) {
         let service = self.name.as_str();
-        let count = |test: &dyn Fn(&Slot) -> bool| {
-            let count = state.slots.iter().filter(|slot| test(slot)).count();
+        let count = |test: &dyn Fn(&EndpointState) -> bool| {
+            let count = state.endpoints.iter().filter(|entry| test(entry)).count();
             i64::try_from(count).unwrap_or(i64::MAX)
         };
-        let ejected = |slot: &Slot| slot.health.availability(now) == route::Availability::Ejected;
+        let ejected =
+            |entry: &EndpointState| entry.health.availability(now) == route::Availability::Ejected;
         let gauge = |state: &str, value: i64| {
             self.metrics.endpoints.with_label_values(&[service, state]).set(value);
         };
-        gauge("open", count(&|slot| !slot.endpoint.leaving && !ejected(slot)));
-        gauge("leaving", count(&|slot| slot.endpoint.leaving));
+        gauge("open", count(&|entry| !entry.endpoint.leaving && !ejected(entry)));
+        gauge("leaving", count(&|entry| entry.endpoint.leaving));
         gauge("ejected", count(&ejected));
         let queued = i64::try_from(state.queue.len()).unwrap_or(i64::MAX);
         self.metrics.queued.with_label_values(&[service]).set(queued);
@@ -440,14 +454,14 @@
         self.metrics.retry_budget.with_label_values(&[service]).set(left);
     }
 
-    /// Locks what changes.
+    /// Locks the endpoints, queue and budget.
     fn lock(&self) -> sync::MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(sync::PoisonError::into_inner)
     }
 }
 
-impl Slot {
-    /// Makes a slot of an endpoint not used before.
+impl EndpointState {
+    /// Creates the state of an endpoint that was not used before.
     fn new(hall: &id::HallId, endpoint: &endpoints::Endpoint) -> Self {
         Self {
             hall: hall.clone(),
@@ -459,57 +473,62 @@
     }
 }
 
-/// Takes a place at another endpoint than one that is avoided, or there where the request may go there too.
-fn reserve_beside(state: &mut State, now: time::Duration, avoid: Avoid) -> Option<net::SocketAddr> {
-    let (addr, may_go_there) = match avoid {
+/// Reserves capacity at another endpoint than the avoided one, or there if the request may still
+/// use it.
+fn reserve_avoiding(
+    state: &mut State,
+    now: time::Duration,
+    avoid: Avoid,
+) -> Option<net::SocketAddr> {
+    let (addr, may_use_avoided) = match avoid {
         Avoid::Nothing => return reserve(state, now, None),
         Avoid::Full(addr) => (addr, true),
         Avoid::Failed(addr) => (addr, !others_in_use(state, addr, now)),
     };
     let other = reserve(state, now, Some(addr));
-    if may_go_there { other.or_else(|| reserve(state, now, None)) } else { other }
+    if may_use_avoided { other.or_else(|| reserve(state, now, None)) } else { other }
 }
 
-/// Returns whether any endpoint but one is in use: neither leaving nor left.
+/// Returns whether any other endpoint is in use, that is neither leaving nor ejected.
 fn others_in_use(state: &State, addr: net::SocketAddr, now: time::Duration) -> bool {
-    let in_use = |slot: &Slot| {
-        !slot.endpoint.leaving && slot.health.availability(now) == route::Availability::Open
+    let in_use = |entry: &EndpointState| {
+        !entry.endpoint.leaving && entry.health.availability(now) == route::Availability::Open
     };
-    state.slots.iter().any(|slot| slot.endpoint.addr != addr && in_use(slot))
+    state.endpoints.iter().any(|entry| entry.endpoint.addr != addr && in_use(entry))
 }
 
-/// Takes a place at the better of two endpoints, of which one may be left out.
+/// Reserves capacity at the better of two randomly chosen endpoints, leaving out one if given.
 fn reserve(
     state: &mut State,
     now: time::Duration,
-    without: Option<net::SocketAddr>,
+    excluded: Option<net::SocketAddr>,
 ) -> Option<net::SocketAddr> {
     let cap = state.cap;
-    let slots = &state.slots;
+    let endpoints = &state.endpoints;
     let cost = |at: usize| {
-        let slot: &Slot = &slots[at];
-        let out = slot.endpoint.leaving || Some(slot.endpoint.addr) == without;
-        if out { None } else { route::request_cost(&slot.health, cap, now) }
+        let entry: &EndpointState = &endpoints[at];
+        let unavailable = entry.endpoint.leaving || Some(entry.endpoint.addr) == excluded;
+        if unavailable { None } else { route::request_cost(&entry.health, cap, now) }
     };
     let mut rng = rand::rng();
-    let at = route::pick(slots.len(), cost, |below| rng.random_range(0..below))?;
-    let slot = &mut state.slots[at];
-    slot.health.in_flight += 1;
-    Some(slot.endpoint.addr)
+    let at = route::pick(endpoints.len(), cost, |below| rng.random_range(0..below))?;
+    let entry = &mut state.endpoints[at];
+    entry.health.in_flight += 1;
+    Some(entry.endpoint.addr)
 }
 
-/// Gives back a place that nobody waits for.
-fn unreserve(state: &mut State, addr: net::SocketAddr) {
-    if let Some(at) = state.at.get(&addr).copied() {
-        let health = &mut state.slots[at].health;
+/// Releases a reservation for which no request waits.
+fn cancel_reservation(state: &mut State, addr: net::SocketAddr) {
+    if let Some(at) = state.index.get(&addr).copied() {
+        let health = &mut state.endpoints[at].health;
         health.in_flight = health.in_flight.saturating_sub(1);
     }
 }
 
-/// Tells waiting requests of their places, outside the balancer's lock.
-fn wake(woken: Vec<(oneshot::Sender<Grant>, Grant)>) {
-    for (sender, grant) in woken {
-        // The place of a request that has gone away is freed as the grant is dropped.
+/// Sends grants to waiting requests, outside the balancer's lock.
+fn notify(grants: Vec<(oneshot::Sender<Grant>, Grant)>) {
+    for (sender, grant) in grants {
+        // If the request is gone, dropping the grant releases the permit.
         let _ = sender.send(grant);
     }
 }
@@ -517,31 +536,31 @@
 /// A balancer in the state dump.
 #[derive(Debug, serde::Serialize)]
 pub struct BalancerDump {
-    /// The service.
+    /// Service that is balanced.
     service: id::ServiceId,
-    /// The most requests of this host under way at one endpoint.
+    /// Largest number of this host's requests in flight at one endpoint.
     cap: u32,
-    /// Waiting requests.
+    /// Number of waiting requests.
     queued: usize,
     /// Retries left in the budget.
     retries_left: u64,
-    /// The endpoints.
+    /// Endpoints of the service.
     endpoints: Vec<EndpointDump>,
 }
 
 /// An endpoint in the state dump.
 #[derive(Debug, serde::Serialize)]
 struct EndpointDump {
-    /// The task.
+    /// Task that serves the endpoint.
     task: id::TaskId,
-    /// Where it answers.
+    /// Address of the endpoint.
     addr: net::SocketAddr,
-    /// Whether it gets nothing new.
+    /// Whether the endpoint gets no new requests.
     leaving: bool,
-    /// How it is used.
+    /// Whether it is open or ejected, as lower-case text.
     used: String,
-    /// Requests of this host under way there.
+    /// Number of this host's requests in flight at the endpoint.
     in_flight: u32,
-    /// The moving average of latency.
+    /// Moving average of the latency, in microseconds.
     latency_us: f64,
 }
--- a/crates/daemon/src/traffic/duplicates.rs
+++ b/crates/daemon/src/traffic/duplicates.rs
@@ -1,56 +1,59 @@
-//! The names of requests that are not repeatable and were taken lately by this host.
+//! Remembers the ids of recent requests that are not repeatable, so that a repeated one is not run
+//! again by this host.
 
 use std::collections;
 use std::sync;
 use std::time;
 
-/// The most names kept; beyond it the oldest are dropped.
-const MAX_NAMES: usize = 200_000;
+/// Largest number of ids; beyond it the oldest are dropped.
+const MAX_IDS: usize = 200_000;
 
-/// Names with the time they were taken.
+/// Ids of recent requests.
 #[derive(Debug)]
-pub struct Duplicates {
-    /// How long a name is kept.
+pub struct RecentRequests {
+    /// Time for which an id is kept.
     window: time::Duration,
-    /// The names and their order.
+    /// Ids in both orders, under one lock.
     state: sync::Mutex<State>,
 }
 
-/// The names and their order.
+/// The ids, for lookup and by age.
 #[derive(Debug, Default)]
 struct State {
-    /// The names.
-    names: collections::HashSet<sync::Arc<str>>,
-    /// The names by age, the oldest first.
+    /// Ids for lookup.
+    ids: collections::HashSet<sync::Arc<str>>,
+    /// Ids by the time at which they were inserted, oldest first.
     ages: collections::VecDeque<(time::Duration, sync::Arc<str>)>,
 }
 
-impl Duplicates {
-    /// Makes an empty set that keeps names so long.
+impl RecentRequests {
+    /// Creates an empty set that keeps ids for `window`.
     pub fn new(window: time::Duration) -> Self {
         Self { window, state: sync::Mutex::default() }
     }
 
-    /// Notes a name; returns whether it was not known.
-    pub fn note(&self, name: &str, now: time::Duration) -> bool {
+    /// Inserts an id; returns whether it was not there.
+    pub fn insert(&self, id: &str, now: time::Duration) -> bool {
         let mut state = self.state.lock().unwrap_or_else(sync::PoisonError::into_inner);
-        let stale = |at: time::Duration| now.saturating_sub(at) > self.window;
-        while state.ages.front().is_some_and(|(at, _)| stale(*at)) || state.ages.len() > MAX_NAMES {
+        let is_expired = |at: time::Duration| now.saturating_sub(at) > self.window;
+        while state.ages.front().is_some_and(|(at, _)| is_expired(*at))
+            || state.ages.len() > MAX_IDS
+        {
             if let Some((_, old)) = state.ages.pop_front() {
-                state.names.remove(&old);
+                state.ids.remove(&old);
             }
         }
-        let name: sync::Arc<str> = name.into();
-        let fresh = state.names.insert(sync::Arc::clone(&name));
-        if fresh {
-            state.ages.push_back((now, name));
+        let id: sync::Arc<str> = id.into();
+        let is_new = state.ids.insert(sync::Arc::clone(&id));
+        if is_new {
+            state.ages.push_back((now, id));
         }
-        fresh
+        is_new
     }
 
-    /// Drops the name of a request that did not run, so that it may be sent again.
-    pub fn forget(&self, name: &str) {
+    /// Removes the id of a request that did not run, so that it may be sent again.
+    pub fn forget(&self, id: &str) {
         let mut state = self.state.lock().unwrap_or_else(sync::PoisonError::into_inner);
-        state.names.remove(name);
+        state.ids.remove(id);
     }
 }
--- a/crates/daemon/src/traffic/forward.rs
+++ b/crates/daemon/src/traffic/forward.rs
@@ -1,4 +1,7 @@
-//! Passes an answer's body on piece by piece, and never passes a cut one on as whole.
+//! Forwards the body of an answer to the caller frame by frame.
+//!
+//! A body that was cut short ends with an error, so that it never looks complete. The connection to
+//! the endpoint is reused only after a complete body.
 
 use std::pin;
 use std::sync;
@@ -14,127 +17,128 @@
 use super::balancer;
 use crate::metrics;
 
-/// What is done when a body ends.
+/// What is needed to conclude a request when its body ends.
 #[derive(Debug)]
-pub struct Ending {
-    /// The connection, given back after a whole answer.
+pub struct AnswerContext {
+    /// Connection to the endpoint, returned to the pool after a complete answer.
     pub lease: endpoint::ConnLease,
-    /// The place at the endpoint; nothing for a stream, which holds none.
+    /// Permit at the endpoint; `None` for a stream, which holds none.
     pub permit: Option<balancer::Permit>,
-    /// When the request was sent to the endpoint.
+    /// Clock reading when the request was sent to the endpoint.
     pub sent: time::Duration,
-    /// When the request came.
-    pub came: time::Duration,
-    /// The service, for metrics.
+    /// Clock reading when the request arrived.
+    pub received_at: time::Duration,
+    /// Name of the service, for the metrics.
     pub service: String,
-    /// Whether the endpoint's status says that it is well.
-    pub well: bool,
-    /// Counts the request as under way.
+    /// Whether the status of the answer is not a server error.
+    pub healthy: bool,
+    /// Counts the request as in flight.
     #[expect(dead_code, reason = "counts until it is dropped")]
-    pub under_way: UnderWay,
+    pub in_flight: InFlightGuard,
 }
 
-/// Counts a request as under way until it is dropped.
+/// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
-pub struct UnderWay(prometheus::IntGauge);
+pub struct InFlightGuard(prometheus::IntGauge);
 
-impl UnderWay {
-    /// Counts one more.
+impl InFlightGuard {
+    /// Adds one request to the gauge.
     pub fn new(gauge: &prometheus::IntGauge) -> Self {
         gauge.inc();
         Self(gauge.clone())
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.dec();
     }
 }
 
-/// The endpoint stood still in the middle of its answer.
+/// The endpoint sent nothing for too long within an answer.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-#[error("the endpoint stood still for {stall:?}")]
+#[error("the endpoint made no progress for {stall:?}")]
 pub struct Stalled {
-    /// For how long.
+    /// Time without progress that was allowed.
     stall: time::Duration,
 }
 
-/// A body on its way from an endpoint to a caller.
+/// The body of an answer on its way from an endpoint to a caller.
 #[derive(Debug)]
 pub struct Forward {
-    /// The endpoint's body.
+    /// Body as it arrives from the endpoint.
     body: body::Incoming,
-    /// Tells whether the endpoint stands still; nothing for a stream, which may be quiet for long.
-    watch: Option<guard::StallTimer>,
-    /// What is done at its end.
-    ending: Option<Ending>,
-    /// The clock.
+    /// Detects that the endpoint makes no progress; `None` for a stream, which may be idle for
+    /// long.
+    stall_watch: Option<guard::StallTimer>,
+    /// Concludes the request; `None` once the body has ended.
+    context: Option<AnswerContext>,
+    /// Clock for latencies.
     clock: sync::Arc<dyn clock::Clock>,
-    /// The metrics.
+    /// Metrics of this host.
     metrics: metrics::Metrics,
 }
 
 impl Forward {
-    /// Starts to pass a body on, which may stand still for so long.
+    /// Starts to forward a body; `stall` bounds the time without progress.
     pub fn new(
         body: body::Incoming,
         stall: Option<time::Duration>,
-        ending: Ending,
+        context: AnswerContext,
         clock: sync::Arc<dyn clock::Clock>,
         metrics: metrics::Metrics,
     ) -> Self {
-        let watch = stall.map(guard::StallTimer::new);
-        let mut forward = Self { body, watch, ending: Some(ending), clock, metrics };
+        let stall_watch = stall.map(guard::StallTimer::new);
+        let mut forward = Self { body, stall_watch, context: Some(context), clock, metrics };
         if body::Body::is_end_stream(&forward.body) {
-            forward.whole();
+            forward.complete();
         }
         forward
     }
 
-    /// Ends a body that came whole.
-    fn whole(&mut self) {
-        let Some(ending) = self.ending.take() else {
+    /// Concludes a request whose body is complete.
+    fn complete(&mut self) {
+        let Some(context) = self.context.take() else {
             return;
         };
         let now = self.clock.now();
-        ending.lease.release();
-        if let Some(permit) = ending.permit {
-            let latency = now.saturating_sub(ending.sent);
-            if ending.well {
+        context.lease.release();
+        if let Some(permit) = context.permit {
+            let latency = now.saturating_sub(context.sent);
+            if context.healthy {
                 permit.answered(latency, now);
             } else {
                 permit.failed(outcome::Failure::Lost, now);
             }
         }
-        let took = now.saturating_sub(ending.came).as_secs_f64();
-        self.metrics.latency.with_label_values(&[&ending.service]).observe(took);
+        let took = now.saturating_sub(context.received_at).as_secs_f64();
+        self.metrics.latency.with_label_values(&[&context.service]).observe(took);
     }
 
-    /// Ends a body that broke off.
-    fn broken(&mut self) {
-        let Some(ending) = self.ending.take() else {
+    /// Concludes a request whose body was cut short.
+    fn abort(&mut self) {
+        let Some(context) = self.context.take() else {
             return;
         };
-        if let Some(permit) = ending.permit {
+        if let Some(permit) = context.permit {
             permit.failed(outcome::Failure::Lost, self.clock.now());
         }
-        self.metrics.broken.with_label_values(&[&ending.service]).inc();
+        self.metrics.broken.with_label_values(&[&context.service]).inc();
     }
 
-    /// Breaks a body off whose endpoint stands still.
+    /// Aborts the body once the endpoint has made no progress for too long.
     fn poll_stall(&mut self, cx: &mut task::Context<'_>) -> task::Poll<Stalled> {
-        let Some(watch) = &mut self.watch else {
+        let Some(stall_watch) = &mut self.stall_watch else {
             return task::Poll::Pending;
         };
-        task::ready!(watch.poll(cx));
-        let stall = watch.limit();
-        if let Some(ending) = &self.ending {
-            let (service, addr) = (&ending.service, ending.lease.addr());
-            let retired = ending.lease.retire_idle();
-            tracing::info!(service, %addr, ?stall, retired, "an answer stood still and is broken off");
+        task::ready!(stall_watch.poll(cx));
+        let stall = stall_watch.limit();
+        if let Some(context) = &self.context {
+            let (service, addr) = (&context.service, context.lease.addr());
+            let retired = context.lease.retire_idle();
+            tracing::info!(service, %addr, ?stall, retired, "an answer made no progress and is aborted");
         }
-        self.broken();
+        self.abort();
         task::Poll::Ready(Stalled { stall })
     }
 }
@@ -149,24 +153,24 @@
     ) -> task::Poll<Option<Result<body::Frame<Bytes>, reply::BodyError>>> {
         let polled = pin::Pin::new(&mut self.body).poll_frame(cx);
         if polled.is_ready()
-            && let Some(watch) = &mut self.watch
+            && let Some(stall_watch) = &mut self.stall_watch
         {
-            watch.reset();
+            stall_watch.reset();
         }
         match polled {
             task::Poll::Pending => self.poll_stall(cx).map(|stalled| Some(Err(stalled.into()))),
             task::Poll::Ready(Some(Ok(frame))) => {
                 if body::Body::is_end_stream(&self.body) {
-                    self.whole();
+                    self.complete();
                 }
                 task::Poll::Ready(Some(Ok(frame)))
             }
             task::Poll::Ready(Some(Err(err))) => {
-                self.broken();
+                self.abort();
                 task::Poll::Ready(Some(Err(err.into())))
             }
             task::Poll::Ready(None) => {
-                self.whole();
+                self.complete();
                 task::Poll::Ready(None)
             }
         }
--- a/crates/daemon/src/traffic/mod.rs
+++ b/crates/daemon/src/traffic/mod.rs
@@ -1,4 +1,7 @@
-//! The traffic of a host: it reads control state only as a snapshot that is swapped whole.
+//! The request path of a host.
+//!
+//! Traffic runs on threads of its own and reads control state only as a snapshot that is swapped as
+//! a whole, so requests continue while control is slow.
 
 mod balancer;
 mod duplicates;
@@ -17,73 +20,73 @@
 
 pub use balancer::BalancerDump;
 
-/// The most endpoints that a host tells of in one interval, the slowest first.
-const MAX_TOLD: usize = 48;
+/// Largest number of endpoints in the digests of one interval; the slowest come first.
+const MAX_REPORTED: usize = 48;
 
-/// What traffic needs of the configuration and the halls.
+/// Control state that traffic needs.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// The configuration revision.
+    /// Revision of the configuration.
     pub revision: u64,
-    /// The services.
+    /// Declared services.
     pub services: collections::BTreeMap<id::ServiceId, desired::Service>,
-    /// The priority of each class.
+    /// Priority of each class of requests.
     pub classes: collections::BTreeMap<id::ClassId, u32>,
-    /// The endpoints of each service, with their halls.
+    /// Endpoints of each service, with their halls.
     pub endpoints: collections::BTreeMap<id::ServiceId, Vec<(id::HallId, endpoints::Endpoint)>>,
-    /// The number of entry hosts that share the endpoints.
+    /// Number of entry hosts that share the endpoints.
     pub hosts: usize,
 }
 
-/// The bounds of traffic, from the settings.
+/// Limits of traffic, from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Requests that an endpoint runs at once.
+    /// Requests that an endpoint runs concurrently.
     pub slots: u64,
-    /// Connections that an endpoint takes.
+    /// Connections that an endpoint accepts.
     pub connections: u64,
-    /// Waiting requests of a service.
+    /// Largest number of queued requests of a service.
     pub queue: usize,
-    /// Most tries of a request.
-    pub tries: u32,
-    /// Retries per 1,000 first tries.
+    /// Largest number of attempts of a request.
+    pub max_attempts: u32,
+    /// Retries per 1,000 first attempts.
     pub retry_share_milli: u64,
-    /// Retries allowed after a calm time.
+    /// Retries that the budget allows after a time without any.
     pub retry_burst: u64,
-    /// Most endpoints left at once.
+    /// Largest share of endpoints that may be ejected at once.
     pub eject_share_percent: u32,
-    /// How long an endpoint may stand still in an answer.
+    /// Longest time without progress within an answer.
     pub stall: time::Duration,
-    /// The largest body and how long it may take.
+    /// Largest body of a request, and the longest time that it may take to arrive.
     pub body: wharflane_caller::request::BodyBounds,
 }
 
-/// The traffic of a host.
+/// The request path of a host.
 #[derive(Debug)]
 pub struct Traffic {
-    /// The clock.
+    /// Clock for latencies and deadlines.
     clock: sync::Arc<dyn clock::Clock>,
-    /// The bounds.
+    /// Limits from the settings.
     limits: Limits,
-    /// The control state in force.
+    /// Control state in force.
     snapshot: arc_swap::ArcSwap<Snapshot>,
-    /// The balancers of the services.
+    /// Balancer of each service.
     balancers:
         arc_swap::ArcSwap<collections::BTreeMap<id::ServiceId, sync::Arc<balancer::Balancer>>>,
-    /// The connections to endpoints.
+    /// Idle connections to endpoints.
     pool: sync::Arc<endpoint::Pool>,
-    /// The names of requests taken lately.
-    duplicates: duplicates::Duplicates,
-    /// The metrics.
+    /// Ids of recent requests that are not repeatable.
+    duplicates: duplicates::RecentRequests,
+    /// Metrics of this host.
     metrics: metrics::Metrics,
-    /// The mark of this process in request names.
+    /// Random number of this process, part of the request ids that it assigns.
     nonce: u64,
-    /// The number of requests named here.
-    named: sync::atomic::AtomicU64,
+    /// Number of the next request id that this process assigns.
+    next_number: sync::atomic::AtomicU64,
 }
 
 impl Traffic {
-    /// Makes the traffic of a host that knows no service yet.
+    /// Creates a request path that knows no service yet.
     #[must_use]
     pub fn new(
         settings: &settings::Settings,
@@ -91,7 +94,7 @@
         metrics: metrics::Metrics,
         nonce: u64,
     ) -> Self {
-        let limits = limits(settings);
+        let limits = traffic_limits(settings);
         let bounds = endpoint::Bounds {
             idle: usize::try_from(limits.connections).unwrap_or(usize::MAX),
             idle_timeout: settings.time("traffic", "idle_timeout_ms"),
@@ -103,16 +106,16 @@
             snapshot: arc_swap::ArcSwap::default(),
             balancers: arc_swap::ArcSwap::default(),
             pool: sync::Arc::new(endpoint::Pool::new(bounds)),
-            duplicates: duplicates::Duplicates::new(
+            duplicates: duplicates::RecentRequests::new(
                 settings.time("traffic", "duplicate_window_ms"),
             ),
             metrics,
             nonce,
-            named: sync::atomic::AtomicU64::new(0),
+            next_number: sync::atomic::AtomicU64::new(0),
         }
     }
 
-    /// Swaps the control state in force.
+    /// Replaces the control state in force.
     pub fn publish(&self, snapshot: Snapshot) {
         let mut balancers = collections::BTreeMap::new();
         let before = self.balancers.load();
@@ -136,8 +139,8 @@
         self.snapshot.store(sync::Arc::new(snapshot));
     }
 
-    /// Returns what this host saw since the last call, by hall, brings gauges up to date and closes idle
-    /// connections.
+    /// Returns the statistics since the last call by hall; also updates gauges and closes
+    /// connections that were idle for too long.
     pub fn take_digests(&self, host: &id::HostId) -> Vec<digest::Digest> {
         let mut halls: collections::BTreeMap<id::HallId, Vec<digest::EndpointStats>> =
             collections::BTreeMap::new();
@@ -145,9 +148,9 @@
         let now = self.clock.now();
         let balancers = self.balancers.load();
         let mut all: Vec<_> =
-            balancers.values().flat_map(|balancer| balancer.take_seen(now)).collect();
+            balancers.values().flat_map(|balancer| balancer.take_stats(now)).collect();
         all.sort_by_key(|(_, seen)| std::cmp::Reverse(seen.p95_us));
-        for (hall, seen) in all.into_iter().take(MAX_TOLD) {
+        for (hall, seen) in all.into_iter().take(MAX_REPORTED) {
             halls.entry(hall).or_default().push(seen);
         }
         let digest = |(hall, endpoints)| digest::Digest { host: host.clone(), hall, endpoints };
@@ -161,34 +164,34 @@
         self.balancers.load().values().map(|balancer| balancer.dump(now)).collect()
     }
 
-    /// Returns the number of requests under way.
+    /// Returns the number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> i64 {
         self.metrics.in_flight.get()
     }
 
-    /// Returns the most requests that this host may have under way at one endpoint.
+    /// Returns the largest number of requests that this host may have in flight at one endpoint.
     fn cap(&self, hosts: usize) -> u32 {
         let share = self.limits.connections / (hosts.max(1) as u64);
         u32::try_from(share.clamp(1, self.limits.slots)).unwrap_or(u32::MAX)
     }
 
-    /// Makes a name for a request that has none.
-    fn name(&self) -> String {
-        let number = self.named.fetch_add(1, sync::atomic::Ordering::Relaxed);
+    /// Assigns an id to a request that has none.
+    fn next_request_id(&self) -> String {
+        let number = self.next_number.fetch_add(1, sync::atomic::Ordering::Relaxed);
         format!("{:x}-{number}", self.nonce)
     }
 }
 
-/// Returns the bounds of traffic.
-fn limits(settings: &settings::Settings) -> Limits {
+/// Reads the limits of traffic from the settings.
+fn traffic_limits(settings: &settings::Settings) -> Limits {
     let number = |key| settings.number("traffic", key);
     let small = |key| u32::try_from(number(key)).unwrap_or(u32::MAX);
     Limits {
         slots: number("endpoint_slots"),
         connections: number("endpoint_connections"),
         queue: settings.count("traffic", "queue_limit"),
-        tries: small("tries"),
+        max_attempts: small("tries"),
         retry_share_milli: number("retry_share_milli"),
         retry_burst: number("retry_burst"),
         eject_share_percent: small("eject_share_percent"),
--- a/crates/daemon/src/traffic/serve.rs
+++ b/crates/daemon/src/traffic/serve.rs
@@ -1,4 +1,7 @@
-//! Serves one request: waits for a place, makes tries within the budget, and tells the outcome.
+//! Serves one request: acquires a permit, makes attempts within the retry budget and reports the
+//! outcome to the caller.
+//!
+//! A request that is not repeatable is sent again only if no earlier attempt can have run.
 
 use std::sync;
 use std::time;
@@ -16,75 +19,75 @@
 use super::balancer;
 use super::forward;
 
-/// The shortest time after which a caller is told to come back.
-const LEAST_RETRY_AFTER: time::Duration = time::Duration::from_secs(1);
+/// Shortest delay after which a caller is asked to retry.
+const MIN_RETRY_AFTER: time::Duration = time::Duration::from_secs(1);
 
-/// The most refusals by full endpoints that a request bears.
+/// Largest number of rejections by full endpoints that a request may meet.
 const MAX_REFUSALS: u32 = 16;
 
-/// The part of the time left after which a try without an answer counts as silent: a second try then has as
-/// long as the first had.
-const QUIET_PART: u32 = 2;
+/// Divisor of the time left that gives the delay of a hedged attempt; with half of the time, the
+/// second attempt has as long as the first had.
+const HEDGE_TIME_DIVISOR: u32 = 2;
 
-/// The start of an answer and when its request was sent, or why there is none.
-type Tried = Result<(endpoint::Answer, time::Duration), endpoint::AttemptError>;
+/// The start of an answer with the clock reading when its request was sent, or why there is none.
+type AttemptResult = Result<(endpoint::Answer, time::Duration), endpoint::AttemptError>;
 
-/// An answer on its way.
+/// An answer that is ready to be forwarded.
 #[derive(Debug)]
-struct Answered {
-    /// Its start.
+struct AnsweredAttempt {
+    /// Head and body of the answer.
     answer: endpoint::Answer,
-    /// The place at the endpoint.
+    /// Permit at the endpoint.
     permit: balancer::Permit,
-    /// When the request was sent to the endpoint.
+    /// Clock reading when the request was sent to the endpoint.
     sent: time::Duration,
 }
 
-/// A try without an answer.
+/// An attempt without an answer.
 #[derive(Clone, Copy, Debug)]
-struct Failed {
-    /// What is known of it.
+struct FailedAttempt {
+    /// What is known about the failed attempt.
     failure: outcome::Failure,
-    /// The endpoint.
+    /// Address of the endpoint.
     addr: std::net::SocketAddr,
 }
 
-/// What two tries beside each other came to.
+/// The result of an attempt with a hedged one beside it.
 #[derive(Debug)]
-enum Beside {
-    /// The end of the first.
-    First(Tried),
-    /// The second was answered before.
-    Second(Answered),
+enum HedgedResult {
+    /// The first attempt ended.
+    First(AttemptResult),
+    /// The hedged attempt was answered first.
+    Second(AnsweredAttempt),
 }
 
 /// A request that ended without an answer.
 #[derive(Clone, Copy, Debug)]
 struct Rejection {
-    /// Why.
+    /// Reason that is reported to the caller.
     why: reply::RequestError,
-    /// What is known of it.
+    /// Whether the request may have run.
     outcome: outcome::Outcome,
-    /// When it is worth to ask again.
+    /// Delay after which the caller may retry.
     retry_after: time::Duration,
 }
 
-/// A request with all that its tries need.
+/// A request with everything that its attempts need.
 #[derive(Debug)]
 struct Call<'a> {
-    /// What the caller asks for.
+    /// Request as parsed from the caller.
     parsed: &'a request::ParsedRequest,
-    /// The name of the request.
+    /// Id of the request, from the caller or assigned here.
     request_id: &'a str,
-    /// The balancer of the service.
+    /// Balancer of the service.
     balancer: sync::Arc<balancer::Balancer>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     repeatable: bool,
-    /// Its priority.
+    /// Priority in the queue.
     priority: u32,
-    /// When it came.
-    came: time::Duration,
-    /// When its caller stops waiting.
+    /// Clock reading when the request arrived.
+    received_at: time::Duration,
+    /// Clock reading when the caller stops waiting.
     deadline: time::Duration,
 }
 
@@ -94,36 +97,36 @@
         self: sync::Arc<Self>,
         request: hyper::Request<body::Incoming>,
     ) -> http_reply::Reply {
-        let came = self.clock.now();
-        let under_way = forward::UnderWay::new(&self.metrics.in_flight);
+        let received_at = self.clock.now();
+        let in_flight = forward::InFlightGuard::new(&self.metrics.in_flight);
         let parsed = match request::read(request, self.limits.body).await {
             Ok(parsed) => parsed,
-            Err(err) => return self.refuse("", "", not_run(why_bad(&err))),
+            Err(err) => return self.reject("", "", not_run(bad_request_reason(&err))),
         };
         let named = parsed.request_id.clone();
-        let request_id = named.unwrap_or_else(|| self.name());
+        let request_id = named.unwrap_or_else(|| self.next_request_id());
         let service = parsed.service.as_str();
-        let call = match self.prepare(&parsed, &request_id, came) {
+        let call = match self.prepare_call(&parsed, &request_id, received_at) {
             Ok(call) => call,
-            Err(rejection) => return self.refuse(service, &request_id, rejection),
+            Err(rejection) => return self.reject(service, &request_id, rejection),
         };
-        match self.run(&call, under_way).await {
+        match self.run_attempts(&call, in_flight).await {
             Ok(answer) => answer,
             Err(rejection) => {
                 if rejection.outcome == outcome::Outcome::NotRun {
                     self.duplicates.forget(&duplicate_key(&parsed.service, &request_id));
                 }
-                self.refuse(service, &request_id, rejection)
+                self.reject(service, &request_id, rejection)
             }
         }
     }
 
-    /// Finds the balancer of a request and checks its name.
-    fn prepare<'a>(
+    /// Finds the balancer of a request and rejects a repeated id.
+    fn prepare_call<'a>(
         &self,
         parsed: &'a request::ParsedRequest,
         request_id: &'a str,
-        came: time::Duration,
+        received_at: time::Duration,
     ) -> Result<Call<'a>, Rejection> {
         let balancers = self.balancers.load();
         let balancer =
@@ -132,62 +135,64 @@
         let repeatable = parsed.repeatable.unwrap_or(service.repeatable);
         if !repeatable && parsed.request_id.is_some() {
             let key = duplicate_key(&parsed.service, request_id);
-            if !self.duplicates.note(&key, came) {
+            if !self.duplicates.insert(&key, received_at) {
                 let outcome = outcome::Outcome::Unknown;
                 let why = reply::RequestError::Duplicate;
-                return Err(Rejection { why, outcome, retry_after: LEAST_RETRY_AFTER });
+                return Err(Rejection { why, outcome, retry_after: MIN_RETRY_AFTER });
             }
         }
-        let patience = parsed.timeout.unwrap_or(time::Duration::from_millis(service.deadline_ms));
+        let timeout = parsed.timeout.unwrap_or(time::Duration::from_millis(service.deadline_ms));
         Ok(Call {
             parsed,
             request_id,
             balancer: sync::Arc::clone(balancer),
             repeatable,
             priority: self.priority(parsed.class.as_ref()).unwrap_or(service.priority),
-            came,
-            deadline: came + patience,
+            received_at,
+            deadline: received_at + timeout,
         })
     }
 
-    /// Returns the priority of a class.
+    /// Returns the priority of a class; `None` if the class is unknown.
     fn priority(&self, class: Option<&id::ClassId>) -> Option<u32> {
         self.snapshot.load().classes.get(class?).copied()
     }
 
-    /// Makes tries until there is an answer, or no more may be made.
-    async fn run(
+    /// Makes attempts until one is answered or no further one is allowed.
+    async fn run_attempts(
         &self,
         call: &Call<'_>,
-        under_way: forward::UnderWay,
+        in_flight: forward::InFlightGuard,
     ) -> Result<http_reply::Reply, Rejection> {
-        let mut tries = outcome::Attempts::default();
+        let mut attempts = outcome::Attempts::default();
         let mut avoid = balancer::Avoid::Nothing;
-        call.balancer.first_try();
+        call.balancer.record_first_attempt();
         loop {
-            let permit = self.enter(call, &tries, avoid).await?;
-            let failure = match self.attempt_with_help(call, permit, &mut tries).await {
-                Ok(answered) => return Ok(self.pass_on(call, answered, under_way)),
+            let permit = self.acquire_permit(call, &attempts, avoid).await?;
+            let failure = match self.attempt_with_hedge(call, permit, &mut attempts).await {
+                Ok(answered) => return Ok(self.forward_answer(call, answered, in_flight)),
                 Err(failed) => {
-                    avoid = avoid_after(&failed);
+                    avoid = avoid_after_failure(&failed);
                     failed.failure
                 }
             };
-            if failure == outcome::Failure::Refused && tries.refused < MAX_REFUSALS {
-                // A full endpoint ran nothing and was asked little; the queue bounds the wait.
+            if failure == outcome::Failure::Refused && attempts.refused < MAX_REFUSALS {
+                // A full endpoint ran nothing and a rejection costs it little; the queue bounds the
+                // wait.
                 continue;
             }
-            if !self.try_left(call, &tries) || !call.balancer.may_retry() {
-                return Err(given_up(failure, &tries));
+            if !self.may_attempt_again(call, &attempts) || !call.balancer.take_retry() {
+                return Err(attempts_exhausted(failure, &attempts));
             }
             self.count_retry(call);
         }
     }
 
-    /// Returns whether one more try may be made, but for the retry budget.
-    fn try_left(&self, call: &Call<'_>, tries: &outcome::Attempts) -> bool {
-        let allowed = tries.made() < self.limits.tries && self.clock.now() < call.deadline;
-        allowed && tries.may_repeat(call.repeatable)
+    /// Returns whether a further attempt is allowed, apart from the retry budget.
+    fn may_attempt_again(&self, call: &Call<'_>, attempts: &outcome::Attempts) -> bool {
+        let allowed =
+            attempts.made() < self.limits.max_attempts && self.clock.now() < call.deadline;
+        allowed && attempts.may_repeat(call.repeatable)
     }
 
     /// Counts a retry.
@@ -195,90 +200,96 @@
         self.metrics.retries.with_label_values(&[call.parsed.service.as_str()]).inc();
     }
 
-    /// Makes one try, and a second beside it where the first has no answer after its share of the time.
-    async fn attempt_with_help(
+    /// Makes one attempt, and a hedged one beside it if the first has no answer after half of the
+    /// time left.
+    async fn attempt_with_hedge(
         &self,
         call: &Call<'_>,
         permit: balancer::Permit,
-        tries: &mut outcome::Attempts,
-    ) -> Result<Answered, Failed> {
+        attempts: &mut outcome::Attempts,
+    ) -> Result<AnsweredAttempt, FailedAttempt> {
         let addr = permit.addr;
-        let patience = call.deadline.saturating_sub(self.clock.now()) / QUIET_PART;
+        let timeout = call.deadline.saturating_sub(self.clock.now()) / HEDGE_TIME_DIVISOR;
         let mut first = std::pin::pin!(self.attempt(call, permit.addr));
-        let quick = tokio::time::timeout(patience, first.as_mut()).await;
-        let ended = match quick {
+        let in_time = tokio::time::timeout(timeout, first.as_mut()).await;
+        let ended = match in_time {
             Ok(ended) => ended,
             Err(_elapsed) => {
-                self.suspect(call, addr, patience);
-                match self.beside(call, first.as_mut(), addr, tries).await {
-                    Beside::First(ended) => ended,
-                    Beside::Second(answered) => {
-                        self.note(call, permit, outcome::Failure::TimedOut, tries);
+                self.retire_idle(call, addr, timeout);
+                match self.hedge(call, first.as_mut(), addr, attempts).await {
+                    HedgedResult::First(ended) => ended,
+                    HedgedResult::Second(answered) => {
+                        self.record_failure(call, permit, outcome::Failure::TimedOut, attempts);
                         return Ok(answered);
                     }
                 }
             }
         };
         match ended {
-            Ok((answer, sent)) => Ok(Answered { answer, permit, sent }),
-            Err(err) => Err(self.failed(call, permit, &err, tries)),
+            Ok((answer, sent)) => Ok(AnsweredAttempt { answer, permit, sent }),
+            Err(err) => Err(self.record_failed_attempt(call, permit, &err, attempts)),
         }
     }
 
-    /// Makes a second try beside one that may be silent, and returns the first answer of both.
-    async fn beside(
+    /// Makes a hedged attempt beside one that may be lost, and returns the first answer of both.
+    async fn hedge(
         &self,
         call: &Call<'_>,
-        mut first: std::pin::Pin<&mut impl Future<Output = Tried>>,
+        mut first: std::pin::Pin<&mut impl Future<Output = AttemptResult>>,
         addr: std::net::SocketAddr,
-        tries: &mut outcome::Attempts,
-    ) -> Beside {
-        // The first may have run, and may yet answer: it counts as open for the second.
-        let mut open = *tries;
+        attempts: &mut outcome::Attempts,
+    ) -> HedgedResult {
+        // The first attempt may have run and may still be answered, so it counts as timed out for
+        // the second.
+        let mut open = *attempts;
         open.note(outcome::Failure::TimedOut);
-        if !self.try_left(call, &open) || !call.balancer.may_retry() {
-            return Beside::First(first.await);
+        if !self.may_attempt_again(call, &open) || !call.balancer.take_retry() {
+            return HedgedResult::First(first.await);
         }
         self.count_retry(call);
-        let mut second = std::pin::pin!(self.second(call, addr, open));
+        let mut second = std::pin::pin!(self.second_attempt(call, addr, open));
         tokio::select! {
             ended = first.as_mut() => match ended {
-                Ok(answered) => Beside::First(Ok(answered)),
+                Ok(answered) => HedgedResult::First(Ok(answered)),
                 Err(err) => match second.await {
-                    Ok(answered) => Beside::Second(answered),
-                    Err(more) => {
-                        more.into_iter().for_each(|failure| tries.note(failure));
-                        Beside::First(Err(err))
+                    Ok(answered) => HedgedResult::Second(answered),
+                    Err(second_failure) => {
+                        second_failure.into_iter().for_each(|failure| attempts.note(failure));
+                        HedgedResult::First(Err(err))
                     }
                 },
             },
             ended = second.as_mut() => match ended {
-                Ok(answered) => Beside::Second(answered),
-                Err(more) => {
-                    more.into_iter().for_each(|failure| tries.note(failure));
-                    Beside::First(first.await)
+                Ok(answered) => HedgedResult::Second(answered),
+                Err(second_failure) => {
+                    second_failure.into_iter().for_each(|failure| attempts.note(failure));
+                    HedgedResult::First(first.await)
                 }
             },
         }
     }
 
-    /// Makes the second of two tries, at another endpoint where one has room; returns its failure if it was made.
-    async fn second(
+    /// Makes the hedged attempt, at another endpoint if one has room; returns its failure if it was
+    /// sent.
+    async fn second_attempt(
         &self,
         call: &Call<'_>,
         failed_at: std::net::SocketAddr,
-        mut tries: outcome::Attempts,
-    ) -> Result<Answered, Option<outcome::Failure>> {
-        let entered = self.enter(call, &tries, balancer::Avoid::Failed(failed_at)).await;
-        let permit = entered.map_err(|_rejection| None)?;
+        mut attempts: outcome::Attempts,
+    ) -> Result<AnsweredAttempt, Option<outcome::Failure>> {
+        let acquired =
+            self.acquire_permit(call, &attempts, balancer::Avoid::Failed(failed_at)).await;
+        let permit = acquired.map_err(|_rejection| None)?;
         match self.attempt(call, permit.addr).await {
-            Ok((answer, sent)) => Ok(Answered { answer, permit, sent }),
-            Err(err) => Err(Some(self.failed(call, permit, &err, &mut tries).failure)),
+            Ok((answer, sent)) => Ok(AnsweredAttempt { answer, permit, sent }),
+            Err(err) => {
+                Err(Some(self.record_failed_attempt(call, permit, &err, &mut attempts).failure))
+            }
         }
     }
 
-    /// Closes the idle connections of an endpoint that may be silent.
-    fn suspect(&self, call: &Call<'_>, addr: std::net::SocketAddr, quiet: time::Duration) {
+    /// Closes the idle connections to an endpoint that may have gone silent.
+    fn retire_idle(&self, call: &Call<'_>, addr: std::net::SocketAddr, quiet: time::Duration) {
         let retired = self.pool.retire(addr);
         if retired > 0 {
             let (service, request) = (call.parsed.service.as_str(), call.request_id);
@@ -286,81 +297,81 @@
         }
     }
 
-    /// Notes the end of a try without an answer.
-    fn failed(
+    /// Records the end of an attempt without an answer.
+    fn record_failed_attempt(
         &self,
         call: &Call<'_>,
         permit: balancer::Permit,
         err: &endpoint::AttemptError,
-        tries: &mut outcome::Attempts,
-    ) -> Failed {
+        attempts: &mut outcome::Attempts,
+    ) -> FailedAttempt {
         let addr = permit.addr;
         if err.leaving {
-            call.balancer.leaving(addr);
+            call.balancer.mark_leaving(addr);
         }
         if err.retired > 0 {
             let (service, request) = (call.parsed.service.as_str(), call.request_id);
             tracing::info!(service, request, %addr, retired = err.retired, "no answer in time");
         }
-        self.note(call, permit, err.failure, tries);
-        Failed { failure: err.failure, addr }
+        self.record_failure(call, permit, err.failure, attempts);
+        FailedAttempt { failure: err.failure, addr }
     }
 
-    /// Notes a failure at an endpoint.
-    fn note(
+    /// Counts a failure and releases the permit with it.
+    fn record_failure(
         &self,
         call: &Call<'_>,
         permit: balancer::Permit,
         failure: outcome::Failure,
-        tries: &mut outcome::Attempts,
+        attempts: &mut outcome::Attempts,
     ) {
         let service = call.parsed.service.as_str();
         self.metrics.failures.with_label_values(&[service, failure.label()]).inc();
         permit.failed(failure, self.clock.now());
-        tries.note(failure);
+        attempts.note(failure);
     }
 
-    /// Waits for a place at an endpoint.
-    async fn enter(
+    /// Waits for a permit at an endpoint.
+    async fn acquire_permit(
         &self,
         call: &Call<'_>,
-        tries: &outcome::Attempts,
+        attempts: &outcome::Attempts,
         avoid: balancer::Avoid,
     ) -> Result<balancer::Permit, Rejection> {
         let now = self.clock.now();
-        let first = *tries == outcome::Attempts::default();
-        let entered = call.balancer.enter(call.priority, now, call.deadline, first, avoid).await;
-        entered.map_err(|none| {
+        let first = *attempts == outcome::Attempts::default();
+        let acquired = call.balancer.acquire(call.priority, now, call.deadline, first, avoid).await;
+        acquired.map_err(|none| {
             let (why, retry_after) = match none {
                 balancer::NoPermit::NoEndpoint => {
-                    (reply::RequestError::NoEndpoint, LEAST_RETRY_AFTER)
+                    (reply::RequestError::NoEndpoint, MIN_RETRY_AFTER)
                 }
                 balancer::NoPermit::Overloaded(refused) => {
                     (reply::RequestError::Overloaded, refused.retry_after)
                 }
-                balancer::NoPermit::Expired => (reply::RequestError::Expired, LEAST_RETRY_AFTER),
+                balancer::NoPermit::Expired => (reply::RequestError::Expired, MIN_RETRY_AFTER),
             };
-            Rejection { why, outcome: tries.outcome(), retry_after }
+            Rejection { why, outcome: attempts.outcome(), retry_after }
         })
     }
 
-    /// Makes one try.
-    async fn attempt(&self, call: &Call<'_>, addr: std::net::SocketAddr) -> Tried {
+    /// Sends the request to an endpoint once.
+    async fn attempt(&self, call: &Call<'_>, addr: std::net::SocketAddr) -> AttemptResult {
         let sent = self.clock.now();
-        let request = to_endpoint(call, addr);
-        let patience = call.deadline.saturating_sub(sent);
-        let answer = self.pool.exchange(addr, request, patience).await?;
+        let request = endpoint_request(call, addr);
+        let timeout = call.deadline.saturating_sub(sent);
+        let answer = self.pool.exchange(addr, request, timeout).await?;
         Ok((answer, sent))
     }
 
-    /// Passes an answer on to the caller.
-    fn pass_on(
+    /// Forwards an answer to the caller.
+    fn forward_answer(
         &self,
         call: &Call<'_>,
-        answered: Answered,
-        under_way: forward::UnderWay,
+        answered: AnsweredAttempt,
+        in_flight: forward::InFlightGuard,
     ) -> http_reply::Reply {
-        let Answered { answer, permit, sent } = answered;
+        let AnsweredAttempt { answer, permit, sent } = answered;
         let service = call.parsed.service.to_string();
         let outcome = outcome::Outcome::Answered;
         self.metrics.requests.with_label_values(&[service.as_str(), outcome.label()]).inc();
@@ -369,34 +380,34 @@
         head.version = hyper::Version::default();
         reply::set_outcome_headers(&mut head.headers, outcome, call.request_id);
         let now = self.clock.now();
-        // A stream lasts as long as its caller likes, so it is counted apart from the slots.
+        // A stream lasts as long as its caller likes, so it holds no permit.
         let permit = if call.parsed.watch {
             permit.answered(now.saturating_sub(sent), now);
             None
         } else {
             Some(permit)
         };
-        let ending = forward::Ending {
+        let context = forward::AnswerContext {
             lease: answer.lease,
             permit,
             sent,
-            came: call.came,
+            received_at: call.received_at,
             service,
             // An endpoint that fails fast must not look idle.
-            well: !head.status.is_server_error(),
-            under_way,
+            healthy: !head.status.is_server_error(),
+            in_flight,
         };
         let clock = sync::Arc::clone(&self.clock);
-        // A caller that waits for longer than the limit is not cut off sooner than it asked for.
+        // A caller with a longer deadline than the limit is not cut off before that deadline.
         let left = call.deadline.saturating_sub(self.clock.now());
         let stall = (!call.parsed.watch).then_some(self.limits.stall.max(left));
-        let body = forward::Forward::new(body, stall, ending, clock, self.metrics.clone());
+        let body = forward::Forward::new(body, stall, context, clock, self.metrics.clone());
         hyper::Response::from_parts(head, body.boxed_unsync())
     }
 
     /// Returns the final answer to a request that is given up.
-    fn refuse(&self, service: &str, request_id: &str, rejection: Rejection) -> http_reply::Reply {
-        // Only known services become labels, so that callers can't make metrics grow.
+    fn reject(&self, service: &str, request_id: &str, rejection: Rejection) -> http_reply::Reply {
+        // Only known services become labels, so that callers can't add metrics at will.
         let known = self.balancers.load().contains_key(&id::ServiceId::from(service));
         let service = if known { service } else { "" };
         self.metrics.requests.with_label_values(&[service, rejection.outcome.label()]).inc();
@@ -404,7 +415,7 @@
         reply::error_reply(rejection.why, rejection.outcome, request_id, rejection.retry_after)
     }
 
-    /// Wakes waiting requests whose place became free by time alone.
+    /// Grants queued requests whose endpoint became free by time alone.
     pub fn tick(&self) {
         let now = self.clock.now();
         for balancer in self.balancers.load().values() {
@@ -413,21 +424,21 @@
     }
 }
 
-/// Returns what a request avoids after a try.
-fn avoid_after(failed: &Failed) -> balancer::Avoid {
+/// Returns which endpoint a request avoids after a failed attempt.
+fn avoid_after_failure(failed: &FailedAttempt) -> balancer::Avoid {
     match failed.failure {
         outcome::Failure::Refused => balancer::Avoid::Full(failed.addr),
         _ => balancer::Avoid::Failed(failed.addr),
     }
 }
 
-/// Returns the key under which the name of a request is kept.
+/// Returns the key under which the id of a request is remembered.
 fn duplicate_key(service: &id::ServiceId, request_id: &str) -> String {
     format!("{service}/{request_id}")
 }
 
 /// Builds the request to an endpoint.
-fn to_endpoint(
+fn endpoint_request(
     call: &Call<'_>,
     addr: std::net::SocketAddr,
 ) -> hyper::Request<http_body_util::Full<bytes::Bytes>> {
@@ -454,23 +465,23 @@
     request
 }
 
-/// Returns the end of a request after its last try.
-fn given_up(failure: outcome::Failure, tries: &outcome::Attempts) -> Rejection {
+/// Returns the rejection of a request after its last attempt.
+fn attempts_exhausted(failure: outcome::Failure, attempts: &outcome::Attempts) -> Rejection {
     let why = match failure {
         outcome::Failure::TimedOut => reply::RequestError::TimedOut,
         outcome::Failure::Refused => reply::RequestError::Overloaded,
         outcome::Failure::NotSent | outcome::Failure::Lost => reply::RequestError::Failed,
     };
-    Rejection { why, outcome: tries.outcome(), retry_after: LEAST_RETRY_AFTER }
+    Rejection { why, outcome: attempts.outcome(), retry_after: MIN_RETRY_AFTER }
 }
 
-/// Returns the end of a request of which nothing was sent.
+/// Returns the rejection of a request of which nothing was sent.
 fn not_run(why: reply::RequestError) -> Rejection {
-    Rejection { why, outcome: outcome::Outcome::NotRun, retry_after: LEAST_RETRY_AFTER }
+    Rejection { why, outcome: outcome::Outcome::NotRun, retry_after: MIN_RETRY_AFTER }
 }
 
-/// Returns why a request was not taken.
-fn why_bad(err: &request::BadRequest) -> reply::RequestError {
+/// Returns the reason to report for a malformed request.
+fn bad_request_reason(err: &request::BadRequest) -> reply::RequestError {
     match err {
         request::BadRequest::Body(server::ReadError::TooLarge { .. }) => {
             reply::RequestError::BodyTooLarge
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What tests of the job service's parts share.
+//! Helpers for tests of the job service's parts.
 
 use std::net;
 use std::sync;
@@ -8,10 +8,10 @@
 use wharflane_adapter::{advice, store, workers};
 use wharflane_daemon::{jobs, metrics, settings};
 
-/// How long a call may take.
+/// Longest time that a call to the store or a worker may take.
 const LIMIT: time::Duration = time::Duration::from_millis(800);
 
-/// Makes what the parts of the job service share.
+/// Builds the state that the parts of the job service share.
 pub fn shared(store: net::SocketAddr) -> jobs::Shared {
     let text = format!(
         "host = \"host\"\nhall = \"hall\"\n[listen]\ncaller = \"127.0.0.1:1\"\n\
--- a/crates/daemon/tests/entries.rs
+++ b/crates/daemon/tests/entries.rs
@@ -1,4 +1,5 @@
-//! Entries of workers that others wrote: what a holder is told of them.
+//! Guards a holder's list of workers against entries that other programs wrote: invalid entries,
+//! unusual keys and rows of other parts must not affect the valid ones.
 
 use std::sync;
 use std::sync::atomic;
@@ -13,24 +14,24 @@
 
 mod common;
 
-/// How long the feed may take to tell of a change.
-const PATIENCE: time::Duration = time::Duration::from_secs(5);
+/// Longest time that the feed may take to deliver a change.
+const FEED_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 /// More rows than one page of the store holds.
 const MORE_THAN_A_PAGE: usize = 620;
 
-/// What a holder was told of workers: whole lists, and single ones with whether they are listed.
+/// Events about workers that the holder received.
 #[derive(Debug, Default)]
-struct Told {
-    /// The names of each list.
+struct Received {
+    /// Names of the workers of each complete list.
     lists: Vec<Vec<String>>,
-    /// The changes.
+    /// Each changed entry: the worker's name and whether it is listed.
     changes: Vec<(String, bool)>,
 }
 
-/// Notes what it is told of workers.
-struct Listener(sync::Arc<sync::Mutex<Told>>);
+/// Stands in for the holder and records the events about workers.
+struct RecordingHolder(sync::Arc<sync::Mutex<Received>>);
 
-impl Actor for Listener {
+impl Actor for RecordingHolder {
     type Msg = holder::Msg;
     type State = ();
     type Arguments = ();
@@ -52,15 +53,15 @@
         let holder::Msg::Event(event) = message else {
             return Ok(());
         };
-        let mut told = self.0.lock().expect("a lock");
+        let mut received = self.0.lock().expect("a lock");
         match *event {
             job::Event::Listed(list) => {
-                told.lists.push(
+                received.lists.push(
                     list.iter().map(|member| member.incarnation.worker.to_string()).collect(),
                 );
             }
             job::Event::Member(worker, member) => {
-                told.changes.push((worker.to_string(), member.is_some()));
+                received.changes.push((worker.to_string(), member.is_some()));
             }
             _ => {}
         }
@@ -68,22 +69,23 @@
     }
 }
 
-/// A platform with one worker, and a follower of its list.
-struct Followed {
-    /// The platform.
+/// A platform with one worker, and a follower of its entries.
+struct Fixture {
+    /// Platform whose rows a test changes.
     platform: server::Platform,
-    /// What the holder was told.
-    told: sync::Arc<sync::Mutex<Told>>,
+    /// Events that the follower sent.
+    received: sync::Arc<sync::Mutex<Received>>,
 }
 
-impl Followed {
-    /// Follows the list after others have written to it.
-    async fn start(before: impl Fn(&server::Platform)) -> Self {
+impl Fixture {
+    /// Starts to follow the entries after `prepare` has written to them.
+    async fn start(prepare: impl Fn(&server::Platform)) -> Self {
         let platform = server::Platform::start(1, time::Duration::ZERO).await.expect("a platform");
-        before(&platform);
-        let told = sync::Arc::<sync::Mutex<Told>>::default();
-        let (actor, _) =
-            Actor::spawn(None, Listener(sync::Arc::clone(&told)), ()).await.expect("an actor");
+        prepare(&platform);
+        let received = sync::Arc::<sync::Mutex<Received>>::default();
+        let (actor, _) = Actor::spawn(None, RecordingHolder(sync::Arc::clone(&received)), ())
+            .await
+            .expect("an actor");
         let follower = watch::Follower {
             shared: common::shared(platform.store),
             holder: actor,
@@ -91,30 +93,33 @@
             generation: (0, sync::Arc::new(atomic::AtomicU64::new(0))),
         };
         follower.load(0).await;
-        Self { platform, told }
+        Self { platform, received }
     }
 
-    /// Waits until the holder was told of so many changes and returns them.
+    /// Waits until `count` changes were received and returns all of them.
     async fn changes(&self, count: usize) -> Vec<(String, bool)> {
-        self.wait(|told| (told.changes.len() >= count).then(|| told.changes.clone())).await
+        self.wait_for(|received| {
+            (received.changes.len() >= count).then(|| received.changes.clone())
+        })
+        .await
     }
 
-    /// Waits until the holder was told of the whole list and returns it.
+    /// Waits until a complete list was received and returns it.
     async fn list(&self) -> Vec<String> {
-        self.wait(|told| told.lists.first().cloned()).await
+        self.wait_for(|received| received.lists.first().cloned()).await
     }
 
-    /// Waits until the holder was told of something.
-    async fn wait<T>(&self, of: impl Fn(&Told) -> Option<T>) -> T {
+    /// Waits until `find` returns a value for what was received.
+    async fn wait_for<T>(&self, find: impl Fn(&Received) -> Option<T>) -> T {
         let wait = async {
             loop {
-                if let Some(found) = of(&self.told.lock().expect("a lock")) {
+                if let Some(found) = find(&self.received.lock().expect("a lock")) {
                     return found;
                 }
                 tokio::time::sleep(time::Duration::from_millis(10)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, wait).await.expect("told in time")
+        tokio::time::timeout(FEED_TIMEOUT, wait).await.expect("received in time")
     }
 }
 
@@ -123,8 +128,8 @@
     rows::Key { table: entry::WORKERS_TABLE, part: part.to_owned(), name: name.to_owned() }
 }
 
-/// Returns the entry of a worker.
-fn text() -> String {
+/// Returns a valid entry of a worker.
+fn valid_entry() -> String {
     server_codec::member(&job::Member {
         incarnation: "w0".into(),
         addr: ([127, 0, 0, 1], 1).into(),
@@ -143,47 +148,47 @@
 }
 
 cases! {
-    bad_entries_beside_a_good_one_leave_it_in_the_list => run(async {
-        let followed = Followed::start(|platform| {
+    invalid_entries_do_not_hide_a_valid_one => run(async {
+        let fixture = Fixture::start(|platform| {
             for (name, value) in [("a", "{}"), ("b", "no json"), ("z", "{\"service\":7}")] {
                 platform.write_row(key(name, config::EXTERNAL_PART), Some(value.to_owned()));
             }
         });
-        let followed = followed.await;
-        assert_eq!(followed.list().await, ["w0"]);
+        let fixture = fixture.await;
+        assert_eq!(fixture.list().await, ["w0"]);
     }),
-    odd_keys_over_several_pages_leave_the_list_whole => run(async {
-        let followed = Followed::start(|platform| {
+    unusual_keys_over_several_pages_do_not_break_the_list => run(async {
+        let fixture = Fixture::start(|platform| {
             for at in 0..MORE_THAN_A_PAGE {
                 let name = format!("a key & its = {at:04} % # ? \u{e4}\u{10ffff}");
                 platform.write_row(key(&name, config::EXTERNAL_PART), Some("odd".to_owned()));
             }
         });
-        let followed = followed.await;
-        assert_eq!(followed.list().await, ["w0"]);
+        let fixture = fixture.await;
+        assert_eq!(fixture.list().await, ["w0"]);
     }),
     a_row_of_another_part_is_no_entry => run(async {
-        let followed = Followed::start(|platform| {
+        let fixture = Fixture::start(|platform| {
             platform.write_row(key("w0", "elsewhere"), Some("{}".to_owned()));
         });
-        let followed = followed.await;
-        let elsewhere = key("w0", "elsewhere");
-        followed.platform.write_row(elsewhere.clone(), Some(text()));
-        followed.platform.write_row(elsewhere, None);
-        followed.platform.write_row(key("w1", config::EXTERNAL_PART), Some(text()));
-        assert_eq!(followed.changes(1).await, [("w1".to_owned(), true)]);
+        let fixture = fixture.await;
+        let other_part = key("w0", "elsewhere");
+        fixture.platform.write_row(other_part.clone(), Some(valid_entry()));
+        fixture.platform.write_row(other_part, None);
+        fixture.platform.write_row(key("w1", config::EXTERNAL_PART), Some(valid_entry()));
+        assert_eq!(fixture.changes(1).await, [("w1".to_owned(), true)]);
     }),
     an_entry_that_turns_bad_counts_as_gone_and_comes_back => run(async {
-        let followed = Followed::start(|_| {}).await;
+        let fixture = Fixture::start(|_| {}).await;
         let own = key("w0", config::EXTERNAL_PART);
-        let unknown = text().replace("ready", "asleep");
-        for value in [unknown, text(), "no json".to_owned(), text()] {
-            followed.platform.write_row(own.clone(), Some(value));
-            let known = followed.told.lock().expect("a lock").changes.len();
-            followed.changes(known + 1).await;
+        let invalid = valid_entry().replace("ready", "asleep");
+        for value in [invalid, valid_entry(), "no json".to_owned(), valid_entry()] {
+            fixture.platform.write_row(own.clone(), Some(value));
+            let before = fixture.received.lock().expect("a lock").changes.len();
+            fixture.changes(before + 1).await;
         }
         let listed: Vec<bool> =
-            followed.changes(4).await.into_iter().map(|(_, listed)| listed).collect();
+            fixture.changes(4).await.into_iter().map(|(_, listed)| listed).collect();
         assert_eq!(listed, [false, true, false, true]);
     }),
 }
--- a/crates/daemon/tests/lag.rs
+++ b/crates/daemon/tests/lag.rs
@@ -1,4 +1,5 @@
-//! When the lag of a holder is told.
+//! Guards the warnings about a holder's lag: none for a short lag, and one per interval for a long
+//! one.
 
 use std::time;
 
@@ -6,27 +7,29 @@
 use wharflane_stand_in::cases;
 
 cases! {
-    a_short_lag_is_not_told => short(),
-    a_long_lag_is_told_once_in_a_while_with_the_longest => long(),
+    a_short_lag_is_not_logged => short_lag(),
+    a_long_lag_is_logged_at_intervals_with_the_longest => long_lag(),
 }
 
-/// Returns a time in milliseconds.
+/// Returns a duration in milliseconds.
 fn millis(millis: u64) -> time::Duration {
     time::Duration::from_millis(millis)
 }
 
-/// Takes ticks a little late.
-fn short() {
+/// Handles ticks 499 ms late, below the threshold.
+fn short_lag() {
     let mut lag = lag::Lag::default();
-    let told = (0..1_000).filter_map(|at| lag.note(millis(at * 20), millis(at * 20 + 499)));
-    assert_eq!(told.count(), 0);
+    let warnings = (0..1_000).filter_map(|at| lag.record(millis(at * 20), millis(at * 20 + 499)));
+    assert_eq!(warnings.count(), 0);
 }
 
-/// Takes ticks ever later for 21 s.
-fn long() {
+/// Handles ticks with a growing delay for 21 s.
+fn long_lag() {
     let mut lag = lag::Lag::default();
     let late = |at: u64| millis(at * 20 + 500 + at);
-    let told: Vec<_> = (0..=1_000).filter_map(|at| lag.note(millis(at * 20), late(at))).collect();
-    // They are taken 21 ms apart: 10 s and 20 s after the first line the 477th and the 954th come.
-    assert_eq!(told, [millis(500), millis(977), millis(1_454)]);
+    let warnings: Vec<_> =
+        (0..=1_000).filter_map(|at| lag.record(millis(at * 20), late(at))).collect();
+    // Ticks are handled 21 ms apart, so the intervals of 10 s and 20 s after the first warning end
+    // with the 477th and the 954th tick.
+    assert_eq!(warnings, [millis(500), millis(977), millis(1_454)]);
 }
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,14 +1,14 @@
-//! Settings are checked as a whole, and the page lists what the code knows.
+//! Settings are checked as a whole, and docs/SETTINGS.md lists the keys of the code.
 
 use std::fmt::Write as _;
 
 use wharflane_daemon::settings;
 use wharflane_stand_in::cases;
 
-/// The page for operators.
+/// The operators' page on settings.
 const PAGE: &str = include_str!("../../../docs/SETTINGS.md");
 
-/// Settings without faults, and further lines.
+/// Returns valid settings followed by further lines.
 fn text(more: &str) -> String {
     format!(
         "host = \"entry\"\nhall = \"gent\"\n[listen]\ncaller = \"127.0.0.1:1\"\n\
@@ -17,7 +17,7 @@
     )
 }
 
-/// Returns the faults of settings as text.
+/// Returns the faults of settings as text, one per line.
 fn faults(text: &str) -> String {
     let faults = settings::parse(text).err().unwrap_or_default();
     faults.iter().fold(String::new(), |mut all, fault| {
@@ -38,7 +38,7 @@
             assert!(PAGE.contains(&row), "{row}");
             rows += 1;
         }
-        assert_eq!(PAGE.matches("\n| `").count(), rows, "the page has rows of its own");
+        assert_eq!(PAGE.matches("\n| `").count(), rows, "the page lists keys that do not exist");
     },
     defaults_are_within_their_ranges => {
         for number in settings::NUMBERS {
@@ -56,7 +56,7 @@
         let found = faults(&text("").replace("127.0.0.1:2", "127.0.0.1:1"));
         assert!(found.contains("`127.0.0.1:1` stands twice"), "{found}");
     },
-    leases_must_go_together => {
+    a_task_lease_shorter_than_a_change_of_holder_is_a_fault => {
         let found = faults(&text("[control]\nworker_lease_ms = 3000\n"));
         assert!(found.contains("must be at least 7000"), "{found}");
     },
--- a/crates/daemon/tests/silence.rs
+++ b/crates/daemon/tests/silence.rs
@@ -1,7 +1,8 @@
-//! Open connections go silent without a reset while new ones work: what each peer of a host then costs.
+//! Guards against connections that go silent without a reset while new ones work: each kind of peer
+//! must cost a bounded time and hold no resources for good.
 
 mod silence {
-    //! The kinds of peers.
+    //! Test cases by kind of peer.
     pub mod callers;
     pub mod endpoints;
     pub mod peers;
@@ -11,8 +12,8 @@
 
 use wharflane_stand_in::cases;
 
-/// How long a test waits for what must come; many times the limits under test.
-const AMPLE: time::Duration = time::Duration::from_secs(60);
+/// Time limit of a case; many times the limits under test.
+const TEST_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
 cases! {
     one_request_of_an_endpoint_is_lost_and_its_idle_connections_go => run(silence::endpoints::idle_connections()),
@@ -33,10 +34,11 @@
     a_connection_given_up_in_a_message_is_closed => run(silence::peers::given_up_in_a_message()),
 }
 
-/// Runs a case.
+/// Runs a case on a runtime of its own within the time limit.
 fn run(case: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-    runtime
-        .block_on(async { tokio::time::timeout(AMPLE, case).await.expect("ended in ample time") });
+    runtime.block_on(async {
+        tokio::time::timeout(TEST_TIMEOUT, case).await.expect("the case did not end in time")
+    });
     runtime.shutdown_background();
 }
--- a/crates/daemon/tests/silence/endpoints.rs
+++ b/crates/daemon/tests/silence/endpoints.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: several idle ones, one in the middle of an answer, a stream.
+//! Endpoints whose connections go silent: while idle, within an answer, and on a stream.
 
 use std::collections;
 use std::net;
@@ -13,23 +13,24 @@
 use wharflane_http::server;
 use wharflane_stand_in::{endpoint, history, proxy};
 
-/// How many connections are idle when all go silent.
+/// Number of idle connections that go silent at once.
 const IDLE: usize = 4;
-/// How long one try may take.
-const TRY: time::Duration = time::Duration::from_secs(1);
+/// Time limit of one attempt.
+const ATTEMPT_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
-/// Longer than any test takes.
-const AGES: time::Duration = time::Duration::from_secs(600);
-/// Shorter than the rests that a test makes.
-const SOON: time::Duration = time::Duration::from_millis(20);
+/// Idle timeout longer than any test.
+const NEVER: time::Duration = time::Duration::from_secs(600);
+/// Idle timeout shorter than the pauses between requests.
+const SHORT_IDLE: time::Duration = time::Duration::from_millis(20);
 
-/// Several idle connections go silent; requests are then sent one after the other.
+/// Several idle connections go silent; requests that are then sent one after the other lose one
+/// attempt in total.
 pub async fn idle_connections() {
     let proxy = proxy::Proxy::start(start_endpoint().await).await.expect("a proxy");
-    let pool = sync::Arc::new(pool::Pool::new(bounds(AGES)));
-    let tries = (0..IDLE).map(|_| exchange(&pool, proxy.addr));
-    let warm = futures::future::join_all(tries).await;
-    assert!(warm.iter().all(Result::is_ok), "{warm:?}");
+    let pool = sync::Arc::new(pool::Pool::new(bounds(NEVER)));
+    let exchanges = (0..IDLE).map(|_| exchange(&pool, proxy.addr));
+    let first_answers = futures::future::join_all(exchanges).await;
+    assert!(first_answers.iter().all(Result::is_ok), "{first_answers:?}");
     assert_eq!(proxy.opened(), IDLE, "each request had a connection of its own");
     proxy.silence();
     let mut lost = 0;
@@ -46,41 +47,42 @@
     assert_eq!(proxy.opened(), IDLE + 1, "the others used one new connection");
 }
 
-/// A connection that has been idle for too long is not used again.
+/// A connection that was idle for longer than the timeout is not used again.
 pub async fn idle_too_long() {
     let proxy = proxy::Proxy::start(start_endpoint().await).await.expect("a proxy");
-    let pool = sync::Arc::new(pool::Pool::new(bounds(SOON)));
+    let pool = sync::Arc::new(pool::Pool::new(bounds(SHORT_IDLE)));
     for opened in 1..=IDLE {
         exchange(&pool, proxy.addr).await.expect("an answer");
         assert_eq!(proxy.opened(), opened, "each came too late for the connection before");
-        tokio::time::sleep(SOON * 2).await;
+        tokio::time::sleep(SHORT_IDLE * 2).await;
     }
 }
 
 /// Returns the bounds of a pool.
 fn bounds(idle_timeout: time::Duration) -> pool::Bounds {
-    pool::Bounds { idle: IDLE * 2, idle_timeout, connect_timeout: TRY }
+    pool::Bounds { idle: IDLE * 2, idle_timeout, connect_timeout: ATTEMPT_TIMEOUT }
 }
 
-/// Makes one exchange and reads its answer.
+/// Makes one exchange and reads its answer to the end.
 async fn exchange(
     pool: &sync::Arc<pool::Pool>,
     addr: net::SocketAddr,
 ) -> Result<(), outcome::Failure> {
-    let answer = pool.exchange(addr, request(), TRY).await.map_err(|err| err.failure)?;
+    let answer =
+        pool.exchange(addr, request(), ATTEMPT_TIMEOUT).await.map_err(|err| err.failure)?;
     let pool::Answer { response, lease } = answer;
     response.into_body().collect().await.map_err(|_broken| outcome::Failure::Lost)?;
     lease.release();
     Ok(())
 }
 
-/// Returns a request.
+/// Returns a request with an empty body.
 fn request() -> hyper::Request<http_body_util::Full<bytes::Bytes>> {
     let request = hyper::Request::post("/a").header("host", "endpoint");
     request.body(http_body_util::Full::default()).expect("a request")
 }
 
-/// Starts an endpoint whose requests take long enough to be under way at once.
+/// Starts an endpoint whose service time is long enough for requests to overlap.
 async fn start_endpoint() -> net::SocketAddr {
     let task = id::TaskId { owner: "dispatch".into(), born: 1, index: 0 };
     let room = endpoint::Room { slots: IDLE, connections: IDLE * 4 };
@@ -92,23 +94,23 @@
     addr
 }
 
-/// The longest standstill of an answer in these tests, in milliseconds.
+/// Longest time without progress within an answer in these tests, in milliseconds.
 const STALL_MS: u64 = 300;
 
-/// An endpoint goes silent in the middle of its answer: the answer is broken and the place is free again.
+/// An endpoint goes silent within its answer: the answer is cut off and the permit is released.
 pub async fn in_an_answer() {
-    let host = start_host(start_half().await).await;
-    let answer = ask(host).await;
+    let host = start_host(start_stalling_endpoint().await).await;
+    let answer = send_request(host).await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     assert!(answer.ends_with("half"), "broken, not made up: {answer}");
-    // The endpoint has one slot, so this waits for the place of the first.
-    let answer = ask(host).await;
+    // The endpoint has one slot, so this request waits for the permit of the first.
+    let answer = send_request(host).await;
     assert!(answer.ends_with("half"), "{answer}");
 }
 
 /// An endpoint sends nothing for a while on a stream, which lasts as long as its caller likes.
 pub async fn quiet_stream() {
-    let host = start_host(start_half().await).await;
+    let host = start_host(start_stalling_endpoint().await).await;
     let mut stream = tokio::net::TcpStream::connect(host).await.expect("connected");
     let head = "GET /dispatch/a HTTP/1.1\r\nhost: h\r\nwharflane-watch: yes\r\n\r\n";
     stream.write_all(head.as_bytes()).await.expect("written");
@@ -118,8 +120,8 @@
     assert!(tokio::time::timeout(quiet, all).await.is_err(), "open for longer than an answer");
 }
 
-/// Asks a host and returns all that it sends until it closes the connection.
-async fn ask(host: net::SocketAddr) -> String {
+/// Sends a request to a host and returns everything it sends until it closes the connection.
+async fn send_request(host: net::SocketAddr) -> String {
     let mut stream = tokio::net::TcpStream::connect(host).await.expect("connected");
     let head = "GET /dispatch/a HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n";
     stream.write_all(head.as_bytes()).await.expect("written");
@@ -128,14 +130,14 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Starts an endpoint that sends half an answer and then nothing, without a close.
-async fn start_half() -> net::SocketAddr {
+/// Starts an endpoint that sends half an answer and then nothing, without closing the connection.
+async fn start_stalling_endpoint() -> net::SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
     tokio::spawn(async move {
         let mut open = Vec::new();
         while let Ok((mut stream, _)) = listener.accept().await {
-            // What comes before a request is no answer to it, and the host takes it for none.
+            // Bytes sent before a request arrives are no answer to it, and the host discards them.
             let mut request = [0; 4_096];
             assert!(stream.read(&mut request).await.is_ok_and(|bytes| bytes > 0));
             let half = "HTTP/1.1 200 OK\r\ncontent-length: 1000\r\n\r\nhalf";
@@ -146,7 +148,7 @@
     addr
 }
 
-/// Starts a host before one endpoint with one slot.
+/// Starts a host with one endpoint that has one slot.
 async fn start_host(endpoint: net::SocketAddr) -> net::SocketAddr {
     let text = format!(
         "host = \"entry\"\nhall = \"hall\"\n[listen]\ncaller = \"127.0.0.1:0\"\n\
@@ -179,7 +181,7 @@
     addr
 }
 
-/// Returns the service as it is declared.
+/// Returns the declaration of the service.
 fn service() -> desired::Service {
     desired::Service {
         born: 1,
--- a/crates/daemon/tests/silence/peers.rs
+++ b/crates/daemon/tests/silence/peers.rs
@@ -1,4 +1,5 @@
-//! Connections between hosts: gossip over a kept one, a newcomer's question, the side that serves.
+//! Connections between hosts that go silent: gossip over a reused connection, a handover call, and
+//! the serving side.
 
 use std::net;
 use std::sync;
@@ -15,57 +16,58 @@
 use wharflane_stand_in::proxy;
 use wharflane_worker as worker;
 
-/// The time between two messages to a peer.
+/// Interval of gossip rounds.
 const ROUND: time::Duration = time::Duration::from_millis(500);
-/// How long a peer's connection may be quiet in these tests.
+/// Idle timeout of a peer's connection in these tests.
 const IDLE: time::Duration = time::Duration::from_millis(1_500);
-/// How long one may be quiet where that is not what is looked at: longer than any pause of a busy machine.
+/// Idle timeout for tests that don't examine it; longer than any pause of a busy machine.
 const LONG_IDLE: time::Duration = time::Duration::from_secs(120);
-/// The time between looks at what has come.
-const LOOK: time::Duration = time::Duration::from_millis(5);
-/// More text than the buffers of two sockets on loopback hold, in bytes.
-const LONG_BYTES: usize = 24 << 20;
+/// Interval between checks of a condition.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(5);
+/// More bytes than the buffers of two loopback sockets hold.
+const LONG_MESSAGE_BYTES: usize = 24 << 20;
 
-/// Gossip goes on over a new connection, and what changed meanwhile is told at once.
+/// After its connection has gone silent, gossip continues over a new one, and news is sent again at
+/// once.
 pub async fn gossip_goes_on() {
-    let news = News::default();
-    let proxy = start_peer(LONG_IDLE, &news).await;
+    let log = PeerLog::default();
+    let proxy = start_peer(LONG_IDLE, &log).await;
     let metrics = metrics::Metrics::new().expect("metrics");
     let sent = |cause: &str| metrics.gossip.with_label_values(&[cause]).get();
     let actor = start_gossip(proxy.addr, metrics.clone()).await;
-    until(|| news.calls() >= 3).await;
+    until(|| log.calls() >= 3).await;
     assert_eq!(proxy.opened(), 1, "the connection is kept between rounds");
-    // A revision is told beside the rounds, so the call that is lost may be the one with the news.
+    // News is sent outside the rounds, so the lost call may be the one that carries it.
     proxy.silence();
     actor.cast(gossip::Msg::Revision(5)).expect("told");
-    until(|| news.revision() == 5).await;
+    until(|| log.revision() == 5).await;
     assert_eq!(proxy.opened(), 2, "one new connection");
     assert_eq!(sent("again"), 1, "the one call that was lost is made up for at once");
-    let lost = sent("round") + sent("news") + sent("again") - news.calls();
+    let lost = sent("round") + sent("news") + sent("again") - log.calls();
     assert!(
         lost <= 2,
         "{lost}: the call over the silent connection, and one whose answer is on its way"
     );
-    let calls = news.calls();
-    until(|| news.calls() >= calls + 3).await;
+    let calls = log.calls();
+    until(|| log.calls() >= calls + 3).await;
     assert_eq!(proxy.opened(), 2, "which is kept in turn");
 }
 
-/// A host that asks for all is answered over a connection of its own.
+/// A handover call over a new connection is answered after an older connection has gone silent.
 pub async fn handover() {
-    let proxy = start_peer(IDLE, &News::default()).await;
-    let old = peer::Link::connect(proxy.addr, ROUND).await.expect("a connection");
-    old.handover(ROUND).await.expect("answered before");
+    let proxy = start_peer(IDLE, &PeerLog::default()).await;
+    let old_link = peer::Link::connect(proxy.addr, ROUND).await.expect("a connection");
+    old_link.handover(ROUND).await.expect("answered before");
     proxy.silence();
-    let silent = old.handover(ROUND).await;
+    let silent = old_link.handover(ROUND).await;
     assert!(matches!(silent, Err(peer::PeerError::Rpc(_))), "{silent:?}");
-    let new = peer::Link::connect(proxy.addr, ROUND * 10).await.expect("a connection");
-    new.handover(ROUND * 10).await.expect("answered after");
+    let new_link = peer::Link::connect(proxy.addr, ROUND * 10).await.expect("a connection");
+    new_link.handover(ROUND * 10).await.expect("answered after");
 }
 
-/// The side that serves closes a connection without calls, and keeps one with calls.
+/// The serving side closes a connection without calls, and keeps one with calls.
 pub async fn served_side() {
-    let proxy = start_peer(IDLE, &News::default()).await;
+    let proxy = start_peer(IDLE, &PeerLog::default()).await;
     let mut quiet = tokio::net::TcpStream::connect(proxy.addr).await.expect("connected");
     let link = peer::Link::connect(proxy.addr, ROUND).await.expect("a connection");
     for _ in 0..8 {
@@ -75,17 +77,17 @@
     assert_eq!(quiet.read(&mut [0]).await.expect("no reset"), 0, "closed");
 }
 
-/// A connection that is given up while a long message stands still in it leaves no task behind.
+/// Dropping a connection on which a long message is stuck leaves no task behind.
 pub async fn given_up_in_a_message() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
     let tasks = || tokio::runtime::Handle::current().metrics().num_alive_tasks();
     let before = tasks();
     let link = peer::Link::connect(addr, ROUND).await.expect("a connection");
-    let held = listener.accept().await.expect("accepted");
+    let accepted = listener.accept().await.expect("accepted");
     let long = peer::Gossip {
         digests: vec![wharflane::digest::Digest {
-            host: "x".repeat(LONG_BYTES).as_str().into(),
+            host: "x".repeat(LONG_MESSAGE_BYTES).as_str().into(),
             hall: "hall".into(),
             endpoints: Vec::new(),
         }],
@@ -94,54 +96,55 @@
     link.gossip(long, IDLE).await.expect_err("nobody reads");
     drop(link);
     until(|| tasks() == before).await;
-    drop(held);
+    drop(accepted);
 }
 
-/// What a peer heard.
+/// Counts the gossip that a peer received.
 #[derive(Clone, Debug, Default)]
-struct News {
-    /// How many calls.
+struct PeerLog {
+    /// Number of gossip calls.
     calls: sync::Arc<atomic::AtomicU64>,
-    /// The newest revision.
+    /// Newest revision received.
     revision: sync::Arc<atomic::AtomicU64>,
 }
 
-impl News {
-    /// Returns how many calls came.
+impl PeerLog {
+    /// Returns the number of gossip calls.
     fn calls(&self) -> u64 {
         self.calls.load(atomic::Ordering::Relaxed)
     }
 
-    /// Returns the newest revision told.
+    /// Returns the newest revision received.
     fn revision(&self) -> u64 {
         self.revision.load(atomic::Ordering::Relaxed)
     }
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 async fn until(holds: impl Fn() -> bool) {
     while !holds() {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Starts a peer and a proxy before it.
-async fn start_peer(idle: time::Duration, news: &News) -> proxy::Proxy {
+/// Starts a peer and a proxy in front of it.
+async fn start_peer(idle: time::Duration, log: &PeerLog) -> proxy::Proxy {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
-    let news = news.clone();
-    let hear = move |gossip: peer::Gossip| {
-        news.calls.fetch_add(1, atomic::Ordering::Relaxed);
-        news.revision.fetch_max(gossip.revision, atomic::Ordering::Relaxed);
+    let log = log.clone();
+    let record = move |gossip: peer::Gossip| {
+        log.calls.fetch_add(1, atomic::Ordering::Relaxed);
+        log.revision.fetch_max(gossip.revision, atomic::Ordering::Relaxed);
         peer::GossipReply { revision: 0 }
     };
-    let all = || peer::Handover { config: None, tables: Vec::new() };
-    let answers = peer::Handlers { gossip: sync::Arc::new(hear), handover: sync::Arc::new(all) };
+    let handover = || peer::Handover { config: None, tables: Vec::new() };
+    let answers =
+        peer::Handlers { gossip: sync::Arc::new(record), handover: sync::Arc::new(handover) };
     tokio::spawn(peer::serve(listener, idle, answers));
     proxy::Proxy::start(addr).await.expect("a proxy")
 }
 
-/// Takes what the gossip actor tells its root.
+/// Stands in for the root actor and ignores all messages.
 #[derive(Debug)]
 struct Root;
 
@@ -159,7 +162,7 @@
     }
 }
 
-/// Starts the gossip of a host with one peer.
+/// Starts the gossip actor of a host with one peer.
 async fn start_gossip(
     peer: net::SocketAddr,
     metrics: metrics::Metrics,
--- a/crates/daemon/tests/stale_load.rs
+++ b/crates/daemon/tests/stale_load.rs
@@ -1,4 +1,5 @@
-//! A read of the state for a holding that is over is not told to the next one.
+//! A read of the state that outlasts its lease term must not be sent to the next term, which would
+//! take old rows for the current state.
 
 use std::sync;
 use std::sync::atomic;
@@ -12,10 +13,10 @@
 
 mod common;
 
-/// Notes whether it was told of a state that was read.
-struct Listener(sync::Arc<atomic::AtomicUsize>);
+/// Stands in for the holder and counts the results of reads that it receives.
+struct LoadCounter(sync::Arc<atomic::AtomicUsize>);
 
-impl Actor for Listener {
+impl Actor for LoadCounter {
     type Msg = holder::Msg;
     type State = ();
     type Arguments = ();
@@ -43,13 +44,14 @@
     }
 }
 
-/// Reads the state for a holding, which is over or not, and returns how often the holder is told.
-async fn told(over: u64) -> usize {
+/// Reads the state for lease term 0 while `current` is the current one; returns how many results
+/// the holder received.
+async fn loads_sent(current: u64) -> usize {
     let platform = server::Platform::start(1, time::Duration::ZERO).await.expect("a platform");
-    let told = sync::Arc::<atomic::AtomicUsize>::default();
+    let sent = sync::Arc::<atomic::AtomicUsize>::default();
     let (actor, ended) =
-        Actor::spawn(None, Listener(sync::Arc::clone(&told)), ()).await.expect("an actor");
-    let generation = (0, sync::Arc::new(atomic::AtomicU64::new(over)));
+        Actor::spawn(None, LoadCounter(sync::Arc::clone(&sent)), ()).await.expect("an actor");
+    let generation = (0, sync::Arc::new(atomic::AtomicU64::new(current)));
     let follower = watch::Follower {
         shared: common::shared(platform.store),
         holder: actor.clone(),
@@ -59,14 +61,14 @@
     follower.load(0).await;
     actor.drain().expect("all messages taken");
     ended.await.expect("ended");
-    told.load(atomic::Ordering::Relaxed)
+    sent.load(atomic::Ordering::Relaxed)
 }
 
 cases! {
-    a_state_read_for_this_holding_is_told => {
-        assert_eq!(tokio::runtime::Runtime::new().expect("a runtime").block_on(told(0)), 1);
+    a_state_read_in_the_current_lease_term_is_sent => {
+        assert_eq!(tokio::runtime::Runtime::new().expect("a runtime").block_on(loads_sent(0)), 1);
     },
-    a_state_read_for_a_holding_that_is_over_is_not_told => {
-        assert_eq!(tokio::runtime::Runtime::new().expect("a runtime").block_on(told(1)), 0);
+    a_state_read_in_an_ended_lease_term_is_not_sent => {
+        assert_eq!(tokio::runtime::Runtime::new().expect("a runtime").block_on(loads_sent(1)), 0);
     },
 }
--- a/crates/daemon/tests/traffic.rs
+++ b/crates/daemon/tests/traffic.rs
@@ -1,9 +1,10 @@
-//! Runs every scenario under tests/traffic: one host, endpoints with faults, callers, and a judge
-//! that knows only what the endpoints ran and what each caller was told.
+//! Runs every scenario under tests/traffic: one host, endpoints with faults, callers, and checks
+//! that use only what the endpoints ran and what each caller was told.
 //!
-//! Each is played twice. In real time, on many threads, the promises must hold, however slow the machine is. In
-//! virtual time, which goes on only while all sockets are quiet, so must the counts: a load by schedule and limits in
-//! milliseconds then ask nothing of the machine.
+//! Each scenario runs twice. In real time, on many threads, the invariants must hold however slow
+//! the machine is. In virtual time, which advances only while all sockets are idle, the counts must
+//! match as well; there the rate of the load and limits in milliseconds don't depend on the
+//! machine.
 
 use std::collections;
 use std::fs;
@@ -17,53 +18,53 @@
 use wharflane_http::server;
 use wharflane_stand_in::{caller, checker, endpoint, history, proxy};
 
-/// The service of every scenario.
+/// Service that every scenario calls.
 const SERVICE: &str = "dispatch";
-/// The time between two looks of the host at its queues.
+/// Interval at which the host checks its queues.
 const TICK: time::Duration = time::Duration::from_millis(20);
-/// How long virtual time stands at each of those looks, so that what the kernel still carries arrives; no limit rests
-/// on it.
-const STAND: time::Duration = time::Duration::from_millis(1);
+/// Real time to wait at each of those checks in virtual time, so that data still in the kernel
+/// arrives; no limit depends on it.
+const SETTLE: time::Duration = time::Duration::from_millis(1);
 
-/// A scenario as its file tells it.
+/// A scenario as described by its file.
 #[derive(Debug)]
 struct Scenario {
-    /// The number of endpoints.
+    /// Number of endpoints.
     endpoints: usize,
-    /// The room of each.
+    /// Slots and connections of each endpoint.
     room: endpoint::Room,
-    /// The faults of each.
+    /// Faults of each endpoint, by number.
     faults: Vec<endpoint::Faults>,
-    /// The endpoints that are not there.
+    /// Numbers of the endpoints that refuse connections.
     gone: collections::BTreeSet<usize>,
-    /// Further settings of traffic.
+    /// Further lines of the `traffic` settings.
     settings: String,
-    /// Whether the service's requests may run again.
+    /// Whether the service's requests are repeatable.
     repeatable: bool,
-    /// The load.
+    /// Number of requests of one load.
     requests: u32,
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
-    /// How long callers wait.
+    /// Time after which a caller gives up.
     patience: time::Duration,
-    /// Whether every request is sent twice under the same name.
+    /// Whether every request is sent twice with the same id.
     twice: bool,
-    /// Whether all connections to endpoints go silent after the load, which then comes once more.
+    /// Whether all connections to endpoints go silent after the load, which is then sent once more.
     silenced: bool,
-    /// What must hold at the end.
+    /// Names of counts with their least and greatest expected values.
     expects: Vec<(String, u64, u64)>,
 }
 
-/// The time in which a scenario is played.
+/// The kind of time in which a scenario runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Pace {
-    /// That of the machine.
+enum TimeMode {
+    /// Real time of the machine.
     Real,
-    /// That of the scenario.
+    /// Paused time of the runtime, which advances while all tasks are idle.
     Virtual,
 }
 
-/// The virtual clock of tokio, and the machine's where time is real.
+/// Clock based on the time of the runtime, real or virtual.
 #[derive(Debug)]
 struct Clock(tokio::time::Instant);
 
@@ -73,28 +74,28 @@
     }
 }
 
-/// What a scenario came to.
-struct Played {
-    /// What the callers saw.
+/// The result of a scenario.
+struct Outcome {
+    /// Result of each request as its caller saw it.
     report: caller::Report,
-    /// What the endpoints ran.
+    /// Requests that the endpoints ran.
     events: Vec<history::Event>,
-    /// What the host counted.
+    /// Metrics of the host.
     metrics: metrics::Metrics,
-    /// The endpoints.
+    /// Endpoint servers, by number.
     fakes: Vec<sync::Arc<endpoint::Endpoint>>,
 }
 
-/// Runs one scenario.
+/// Runs one scenario in real and in virtual time.
 fn run_file(path: &path::Path) -> datatest_stable::Result<()> {
     let scenario = read(&fs::read_to_string(path)?);
     let mut threads = tokio::runtime::Builder::new_multi_thread();
-    let real = run(&scenario, threads.enable_all().build()?, Pace::Real);
-    judge(&scenario, &real);
+    let real = run(&scenario, threads.enable_all().build()?, TimeMode::Real);
+    check_invariants(&scenario, &real);
     let mut thread = tokio::runtime::Builder::new_current_thread();
     let paused = thread.enable_all().start_paused(true).build()?;
-    let counted = run(&scenario, paused, Pace::Virtual);
-    judge(&scenario, &counted);
+    let counted = run(&scenario, paused, TimeMode::Virtual);
+    check_invariants(&scenario, &counted);
     for (what, least, most) in &scenario.expects {
         let found = counted.count(what);
         assert!((*least..=*most).contains(&found), "{what}: {found}, not {least} to {most}");
@@ -102,15 +103,15 @@
     Ok(())
 }
 
-/// Plays a scenario on a runtime of its own.
-fn run(scenario: &Scenario, runtime: tokio::runtime::Runtime, pace: Pace) -> Played {
-    let played = runtime.block_on(play(scenario, pace));
+/// Runs a scenario on the given runtime and shuts it down.
+fn run(scenario: &Scenario, runtime: tokio::runtime::Runtime, mode: TimeMode) -> Outcome {
+    let outcome = runtime.block_on(play(scenario, mode));
     runtime.shutdown_background();
-    played
+    outcome
 }
 
-/// Plays a scenario.
-async fn play(scenario: &Scenario, pace: Pace) -> Played {
+/// Starts the endpoints and the host of a scenario and sends its load.
+async fn play(scenario: &Scenario, mode: TimeMode) -> Outcome {
     let history = history::History::default();
     let mut table = Vec::new();
     let mut fakes = Vec::new();
@@ -126,7 +127,7 @@
         fakes.push(fake);
     }
     let metrics = metrics::Metrics::new().expect("metrics");
-    let host = start_host(scenario, table, metrics.clone(), pace).await;
+    let host = start_host(scenario, table, metrics.clone(), mode).await;
     let load = |name: &str| caller::Load {
         hosts: vec![host],
         service: SERVICE.to_owned(),
@@ -144,16 +145,16 @@
         proxies.iter().for_each(proxy::Proxy::silence);
         report.seen.extend(caller::run(load("again")).await.seen);
     }
-    Played { report, events: history.events(), metrics, fakes }
+    Outcome { report, events: history.events(), metrics, fakes }
 }
 
-/// Holds what must always hold.
-fn judge(scenario: &Scenario, played: &Played) {
+/// Checks the invariants that hold in any timing.
+fn check_invariants(scenario: &Scenario, outcome: &Outcome) {
     let loads = 1 + u32::from(scenario.twice) + u32::from(scenario.silenced);
-    let seen = &played.report.seen;
+    let seen = &outcome.report.seen;
     assert_eq!(seen.len(), (scenario.requests * loads) as usize, "requests with an end");
-    let runs = checker::runs(&played.events);
-    // Of a request that was made twice under one name, the other may have run.
+    let runs = checker::runs(&outcome.events);
+    // If a request was sent twice with one id, the other copy may have run.
     let others: collections::BTreeSet<&str> = seen
         .iter()
         .filter(|seen| seen.end != caller::End::NotRun)
@@ -168,8 +169,8 @@
     }
 }
 
-impl Played {
-    /// Counts one thing.
+impl Outcome {
+    /// Returns a count by its name in scenario files.
     fn count(&self, what: &str) -> u64 {
         let ended = |end| self.report.count(end) as u64;
         match what {
@@ -187,20 +188,20 @@
         }
     }
 
-    /// Returns the most requests that ran at once at any endpoint.
+    /// Returns the largest number of requests that ran concurrently at any endpoint.
     fn peak(&self) -> u64 {
         let peaks = self.fakes.iter().map(|f| f.peak.load(sync::atomic::Ordering::Relaxed));
         peaks.max().unwrap_or(0)
     }
 
-    /// Returns the requests that one endpoint ran.
+    /// Returns the number of requests that one endpoint ran.
     fn at(&self, number: u32) -> u64 {
         let there = |event: &&history::Event| matches!(event, history::Event::Ran { task, .. } if task.index == number);
         self.events.iter().filter(there).count() as u64
     }
 }
 
-/// Starts an endpoint and returns it with its entry in the table.
+/// Starts an endpoint and returns it with its entry in the endpoint table.
 async fn start_endpoint(
     scenario: &Scenario,
     number: usize,
@@ -217,7 +218,7 @@
     (fake, entry)
 }
 
-/// Serves an endpoint and returns where.
+/// Serves an endpoint and returns its address.
 async fn serve(fake: &sync::Arc<endpoint::Endpoint>) -> net::SocketAddr {
     let listener = bind().await;
     let addr = listener.local_addr().expect("its address");
@@ -225,7 +226,8 @@
     addr
 }
 
-/// Returns a port that refuses connections and that no other scenario is given while this process runs.
+/// Returns a port that refuses connections, and that no other scenario gets while this process
+/// runs.
 fn closed_port() -> net::SocketAddr {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind((net::Ipv4Addr::LOCALHOST, 0).into()).expect("a port");
@@ -234,12 +236,12 @@
     addr
 }
 
-/// Starts the traffic of a host and returns where it is called.
+/// Starts the traffic of a host and returns the address for callers.
 async fn start_host(
     scenario: &Scenario,
     table: Vec<(id::HallId, endpoints::Endpoint)>,
     metrics: metrics::Metrics,
-    pace: Pace,
+    mode: TimeMode,
 ) -> net::SocketAddr {
     let text = format!(
         "host = \"entry\"\nhall = \"hall\"\n[listen]\ncaller = \"127.0.0.1:0\"\n\
@@ -263,8 +265,8 @@
     tokio::spawn(async move {
         loop {
             tokio::time::sleep(TICK).await;
-            if pace == Pace::Virtual {
-                std::thread::sleep(STAND);
+            if mode == TimeMode::Virtual {
+                std::thread::sleep(SETTLE);
             }
             ticking.tick();
         }
@@ -274,7 +276,7 @@
     addr
 }
 
-/// Returns the service as it is declared.
+/// Returns the declaration of the service.
 fn service(scenario: &Scenario) -> desired::Service {
     desired::Service {
         born: 1,
@@ -289,12 +291,12 @@
     }
 }
 
-/// Opens a port.
+/// Binds a listener to a free port.
 async fn bind() -> tokio::net::TcpListener {
     tokio::net::TcpListener::bind((net::Ipv4Addr::LOCALHOST, 0)).await.expect("a port")
 }
 
-/// Reads a scenario.
+/// Parses a scenario file.
 fn read(text: &str) -> Scenario {
     let mut scenario = Scenario {
         endpoints: 1,
@@ -319,7 +321,7 @@
     scenario
 }
 
-/// Reads one line.
+/// Parses one line of a scenario file.
 fn read_line(scenario: &mut Scenario, line: &str) {
     let words: Vec<&str> = line.split_whitespace().collect();
     let number = |word: &str| word.parse::<u64>().unwrap_or_else(|_| panic!("{line}"));
