--- a/crates/wharflane/src/work.rs
+++ b/crates/wharflane/src/work.rs
@@ -1,4 +1,7 @@
-//! What the holder of a hall and its workers tell each other.
+//! Protocol between the holder of a hall and its workers.
+//!
+//! A `Sync` carries the holder's epoch, a sequence number and the lease of the worker's tasks, so
+//! that a worker rejects messages that are stale or that come from a holder that was replaced.
 
 use std::net;
 
@@ -7,96 +10,97 @@
 use crate::id;
 use crate::size;
 
-/// The holder's message to a worker: fences, lease and commands at once.
+/// A message from the holder to a worker: fencing fields, task lease and commands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sync {
-    /// The worker that is meant.
+    /// The worker that the message is addressed to.
     pub worker: id::WorkerId,
-    /// The boot of the worker that is meant; nothing at first contact, when no command is sent.
+    /// The boot id that the message is addressed to; `None` at first contact, when no command is
+    /// sent.
     pub boot: Option<u64>,
-    /// The epoch of the holder; a worker refuses a lower one than it has seen.
+    /// The epoch of the holder; a worker refuses an epoch lower than the highest that it has seen.
     pub epoch: u64,
-    /// Grows within an epoch; a worker refuses one that is not greater than the last.
+    /// Sequence number within the epoch; a worker refuses one that is not greater than the last.
     pub seq: u64,
-    /// Until when tasks may run without another message, by the worker's own clock.
+    /// When the lease of the worker's tasks expires, by the worker's own clock.
     pub lease_until_ms: u64,
-    /// What to do, in order.
+    /// Commands, in the order in which the worker executes them.
     pub commands: Vec<Command>,
 }
 
-/// One command to a worker; each may be repeated without effect.
+/// A command to a worker; every command is idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "kebab-case")]
 pub enum Command {
-    /// Run a task.
+    /// Starts a task.
     Start {
-        /// The task.
+        /// The task to start.
         task: id::TaskId,
-        /// The attempt, which fences earlier ones.
+        /// The attempt number; a higher attempt fences lower ones.
         attempt: u32,
-        /// What it may use.
+        /// The resources that the task may use.
         size: size::Size,
-        /// The progress to resume from.
+        /// The checkpoint to resume from, as the task's own progress counter.
         checkpoint: Option<u64>,
-        /// What kind of task it is.
+        /// Whether it is a service task or a batch task, with what the worker needs for either.
         kind: Kind,
     },
-    /// Stop a task, after a checkpoint where it has one.
+    /// Stops a task, after a checkpoint if it supports them.
     Stop {
-        /// The task.
+        /// The task to stop.
         task: id::TaskId,
-        /// The attempt.
+        /// The attempt to stop.
         attempt: u32,
     },
-    /// Run a batch task at a share of its processors.
+    /// Limits a batch task to a share of its CPU.
     Throttle {
-        /// The task.
+        /// The task to throttle.
         task: id::TaskId,
-        /// The attempt.
+        /// The attempt to throttle.
         attempt: u32,
-        /// The share left to it.
+        /// The share of CPU that the task keeps, in percent.
         percent: u8,
     },
-    /// Drop the memory of a task that has ended.
+    /// Drops the worker's record of a task that has ended.
     Forget {
-        /// The task.
+        /// The task to forget.
         task: id::TaskId,
-        /// The attempt.
+        /// The attempt to forget.
         attempt: u32,
     },
 }
 
-/// What a worker needs to know of a task besides its size.
+/// Properties of a task that a worker needs besides its size.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Kind {
-    /// A task of a service.
+    /// A task of a latency-critical service.
     Service {
-        /// The service.
+        /// The service that the task belongs to.
         service: id::ServiceId,
     },
     /// A batch task.
     Batch {
-        /// How long it is expected to run.
+        /// The expected run time.
         run_time_ms: u64,
-        /// Whether it can save its progress.
+        /// Whether the task can save its progress.
         checkpoint: bool,
     },
 }
 
-/// A worker's answer.
+/// A worker's reply to a `Sync`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "answer", rename_all = "kebab-case")]
 pub enum Answer {
-    /// The message was taken.
+    /// The worker accepted the message.
     Report(Report),
-    /// The message was refused and nothing was done.
+    /// The worker refused the message and executed nothing.
     Refused {
-        /// Why.
+        /// The reason for the refusal.
         why: Refusal,
-        /// The highest epoch seen.
+        /// The highest epoch that the worker has seen.
         epoch: u64,
-        /// The boot of this worker.
+        /// The current boot id of the worker.
         boot: u64,
     },
 }
@@ -105,60 +109,60 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
-    /// Another holder has a higher epoch.
+    /// The worker has seen a higher epoch, of another holder.
     OldEpoch,
-    /// A later message was taken before.
+    /// The worker has already accepted a message with this or a higher sequence number.
     OldSeq,
-    /// The message was meant for an earlier boot.
+    /// The message is addressed to an earlier boot of the worker.
     OtherBoot,
 }
 
-/// The state of a worker after it took a message.
+/// The state of a worker after it executed a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Changes whenever the worker has lost its memory.
+    /// Boot id; changes whenever the worker loses its in-memory state.
     pub boot: u64,
     /// The worker's own clock.
     pub clock_ms: u64,
-    /// The message this answers.
+    /// The sequence number of the message that this report answers.
     pub seq: u64,
-    /// What the worker has.
+    /// The worker's total resources.
     pub capacity: size::Size,
-    /// All tasks it knows.
+    /// Every task that the worker has a record of.
     pub tasks: Vec<TaskReport>,
 }
 
 /// The state of one task on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskReport {
-    /// The task.
+    /// The reported task.
     pub task: id::TaskId,
-    /// The attempt.
+    /// The attempt that the state belongs to.
     pub attempt: u32,
-    /// What became of it.
+    /// The state of that attempt.
     pub state: TaskState,
-    /// Measured use of processors, which comes late, in thousandths of a core.
+    /// Measured CPU use in thousandths of a core; `None` until a measurement is available.
     pub used_cpu_milli: Option<u64>,
 }
 
-/// What became of a task on a worker.
+/// The state of a task on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "kebab-case")]
 pub enum TaskState {
-    /// It runs.
+    /// The task is running.
     Running {
-        /// Where a service task answers.
+        /// Where a service task accepts requests; `None` for a batch task.
         addr: Option<net::SocketAddr>,
-        /// The progress saved last.
+        /// The checkpoint saved last.
         checkpoint: Option<u64>,
     },
-    /// It was stopped and will not run again in this attempt.
+    /// The task was stopped and does not run again in this attempt.
     Stopped {
-        /// The progress saved last.
+        /// The checkpoint saved last.
         checkpoint: Option<u64>,
     },
-    /// It came to its end.
+    /// The task finished successfully.
     Completed,
-    /// It ended with a failure.
+    /// The task ended with a failure.
     Failed,
 }
