--- a/crates/wharflane/src/job/acquire.rs
+++ b/crates/wharflane/src/job/acquire.rs
@@ -1,24 +1,27 @@
-//! Takes the lease of a domain that is free, or whose holder is gone.
+//! Acquires the lease of a domain that is free or whose holder is gone. A lease counts as expired
+//! once its row stands unchanged for the lease time by this host's own clock; a dead or silent
+//! holder is detected earlier by probing it.
 
 use std::time;
 
 use super::commit;
 use super::engine;
 use super::event;
-use super::rows as kept;
+use super::rows as job_rows;
 use super::worker;
 use crate::id;
 use crate::rows;
 
-/// For how many leases a host that gave its domain up because it was slow leaves it to others.
+/// The number of lease times for which a host that gave its domain up for slowness waits longer
+/// than others before taking a lease.
 const YIELD_LEASES: u32 = 4;
 
 impl engine::Engine {
-    /// Takes the lease if it is free, or its holder has let it lapse.
-    pub(super) fn lease_read(
+    /// Takes the lease if it is free or has expired; probes the holder if it may be gone.
+    pub(super) fn handle_lease_read(
         &mut self,
         now: time::Duration,
-        row: Option<(u64, kept::Lease)>,
+        row: Option<(u64, job_rows::Lease)>,
     ) -> Vec<event::Effect> {
         if !matches!(self.role, engine::Role::Watching) {
             return Vec::new();
@@ -29,27 +32,27 @@
             self.seen = Some(engine::Seen { version, lease: lease.clone(), since: now });
         }
         let since = self.seen.as_ref().map_or(now, |seen| seen.since);
-        let stands = now.saturating_sub(since);
-        // An earlier process of this host is gone for sure, since this one runs in its place.
+        let unchanged_for = now.saturating_sub(since);
+        // An earlier process of this host has certainly ended, since this one replaced it.
         let own = lease.holder.as_ref() == Some(&self.own) && lease.nonce != self.nonce;
         let free = lease.holder.is_none() || own;
         let wait = if free { time::Duration::ZERO } else { self.settings.lease };
         if self.leaving {
             return Vec::new();
         }
-        if stands < wait + self.takeover_delay(now) {
-            let addr = lease.addr.filter(|_| !free && stands >= self.settings.probe);
+        if unchanged_for < wait + self.takeover_delay(now) {
+            let addr = lease.addr.filter(|_| !free && unchanged_for >= self.settings.probe);
             return addr.map(|addr| event::Effect::Probe { version, addr }).into_iter().collect();
         }
-        self.take(now, version, &lease, time::Duration::ZERO)
+        self.take_lease(now, version, &lease, time::Duration::ZERO)
     }
 
-    /// Takes the lease of a holder whose process is gone, or whose host is silent.
+    /// Takes the lease of a holder whose process is gone or whose host is silent.
     ///
-    /// Nothing rests on that: a path that refuses connections or loses them may lie, and the holder then acts
-    /// on until its next commit or until its lease is over. So the leases of tasks that it may grant are taken
-    /// to last longer by its own.
-    pub(super) fn probed(
+    /// The probe proves nothing: a path that refuses connections or loses packets may mislead, and
+    /// the holder then continues until its next commit or until its lease expires. So the task
+    /// leases that it may grant are assumed to last longer by the time of its own lease.
+    pub(super) fn handle_probe(
         &mut self,
         now: time::Duration,
         version: u64,
@@ -66,29 +69,29 @@
         else {
             return Vec::new();
         };
-        let stands = now.saturating_sub(seen.since);
-        if stands < wait + self.takeover_delay(now) {
+        let unchanged_for = now.saturating_sub(seen.since);
+        if unchanged_for < wait + self.takeover_delay(now) {
             return Vec::new();
         }
-        let unchanged_ms = worker::millis(stands);
+        let unchanged_ms = worker::millis(unchanged_for);
         let domain = self.settings.domain;
-        tracing::info!(domain, version, ?sign, unchanged_ms, "the holder seems to be gone");
-        self.take(now, version, &seen.lease, self.settings.lease)
+        tracing::info!(domain, version, ?sign, unchanged_ms, "the lease holder is presumed dead");
+        self.take_lease(now, version, &seen.lease, self.settings.lease)
     }
 
-    /// Takes a lease; `beyond` is how much longer than by the row its holder may have acted.
-    fn take(
+    /// Takes a lease; `extra` is how much longer its holder may have acted than its row says.
+    fn take_lease(
         &mut self,
         now: time::Duration,
         version: u64,
-        lease: &kept::Lease,
-        beyond: time::Duration,
+        lease: &job_rows::Lease,
+        extra: time::Duration,
     ) -> Vec<event::Effect> {
-        let stands = self.seen.as_ref().map_or(now, |seen| now.saturating_sub(seen.since));
-        let before = lease.holder.clone();
-        let next = kept::Lease {
+        let unchanged_for = self.seen.as_ref().map_or(now, |seen| now.saturating_sub(seen.since));
+        let previous = lease.holder.clone();
+        let next = job_rows::Lease {
             holder: Some(self.own.clone()),
-            epoch: kept::next_epoch(lease.epoch),
+            epoch: job_rows::next_epoch(lease.epoch),
             nonce: self.nonce,
             seq: 0,
             hold_ms: worker::millis(self.settings.task_lease),
@@ -97,12 +100,12 @@
         let inherited = match lease.hold_ms {
             0 => self.settings.task_lease_max,
             hold_ms => time::Duration::from_millis(hold_ms),
-        } + beyond;
+        } + extra;
         tracing::info!(
             domain = self.settings.domain,
             version,
-            before = before.as_ref().map_or("", id::HostId::as_str),
-            unchanged_ms = worker::millis(stands),
+            before = previous.as_ref().map_or("", id::HostId::as_str),
+            unchanged_ms = worker::millis(unchanged_for),
             epoch = next.epoch,
             "taking the lease"
         );
@@ -115,8 +118,8 @@
         vec![event::Effect::Txn(self.numbers, txn)]
     }
 
-    /// Begins to read the state once the lease is taken.
-    pub(super) fn acquired(
+    /// Starts loading the state once the lease is taken.
+    pub(super) fn handle_acquire_outcome(
         &mut self,
         now: time::Duration,
         outcome: &rows::Outcome,
@@ -125,8 +128,8 @@
             return Vec::new();
         };
         let Some(version) = commit::committed_version(outcome, lease) else {
-            // Nothing is lost by watching on: a write that comes late makes this process
-            // the holder, which it then reads as its own and takes again.
+            // Watching on is safe: a late write makes this process the holder, which then reads the
+            // lease as its own and takes it again.
             self.step_down(now, "the lease was not taken");
             return Vec::new();
         };
@@ -142,11 +145,11 @@
         vec![event::Effect::Load]
     }
 
-    /// Returns how much longer than others this host waits before it takes a lease.
+    /// Returns how much longer than other hosts this host waits before it takes a lease.
     fn takeover_delay(&self, now: time::Duration) -> time::Duration {
-        let rest = self.settings.lease * YIELD_LEASES;
-        let slow = self.yielded.is_some_and(|at| now.saturating_sub(at) < rest);
-        let own = if slow { self.settings.lease } else { time::Duration::ZERO };
-        self.settings.takeover_delay + own
+        let yield_time = self.settings.lease * YIELD_LEASES;
+        let slow = self.yielded.is_some_and(|at| now.saturating_sub(at) < yield_time);
+        let own_delay = if slow { self.settings.lease } else { time::Duration::ZERO };
+        self.settings.takeover_delay + own_delay
     }
 }
--- a/crates/wharflane/src/job/call.rs
+++ b/crates/wharflane/src/job/call.rs
@@ -1,64 +1,64 @@
-//! What callers ask of the job service, and what they are told.
+//! Calls of the job service and their answers, independent of their encoding.
 
 use std::time;
 
 use super::progress;
 use super::spec;
 
-/// What a caller asks for.
+/// A call to the job service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Take a job; the same name again is the same job.
+    /// Accepts a job; repeating the call with the same name is idempotent.
     Submit {
-        /// Its name.
+        /// The name that the caller gave the job.
         id: spec::JobId,
-        /// What it is.
+        /// The job's queue and steps.
         job: spec::Job,
     },
-    /// Tell how far a job is.
+    /// Returns how far a job has come.
     State {
-        /// Its name.
+        /// The name of the job.
         id: spec::JobId,
     },
-    /// Stop a job for good.
+    /// Cancels a job for good.
     Cancel {
-        /// Its name.
+        /// The name of the job.
         id: spec::JobId,
     },
-    /// Count the jobs of a queue of which no task has begun.
+    /// Counts the jobs of a queue of which no task has begun.
     Waiting {
         /// The name of the queue.
         queue: String,
     },
 }
 
-/// What a caller is told.
+/// The answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The job is kept and will run.
+    /// The job is stored durably and will run.
     Accepted,
-    /// The job is refused for good, and nothing of it is kept.
+    /// The job is rejected for good and was not stored.
     Refused(spec::Refusal),
-    /// The body can't be read, and nothing is kept.
+    /// The body can't be decoded, and nothing was stored.
     BadBody,
-    /// How far the job is.
+    /// The phase of the job.
     State(progress::Phase),
     /// The job is cancelled.
     Cancelled,
-    /// So many jobs of the queue wait.
+    /// The number of waiting jobs in the queue.
     Waiting(u64),
-    /// There is no such queue.
+    /// The queue is not configured.
     NoQueue,
-    /// There is no such job.
+    /// The job is unknown.
     NoJob,
-    /// Nothing was done and nothing will be; the caller may come back after a time.
+    /// The call had no effect and will have none; the caller may retry it later.
     NotTaken {
-        /// When to come back.
+        /// The time after which to retry.
         retry_after: time::Duration,
     },
-    /// It is not known whether it was done; the same call may be made again after a time.
+    /// Whether the call took effect is unknown; the caller may repeat it later.
     Unknown {
-        /// When to come back.
+        /// The time after which to repeat the call.
         retry_after: time::Duration,
     },
 }
--- a/crates/wharflane/src/job/commit.rs
+++ b/crates/wharflane/src/job/commit.rs
@@ -1,7 +1,8 @@
-//! Group commit: one transaction at a time, each conditional on the lease and renewing it.
+//! Group commit: one transaction is in flight at a time, and each is conditional on the lease row
+//! and renews it.
 //!
-//! Every transaction changes the lease row, so one that the store carries out late, after its
-//! answer was lost, finds its condition gone.
+//! Every transaction changes the lease row, so one that the store applies late, after its answer
+//! was lost, fails its condition.
 
 use std::collections;
 use std::time;
@@ -9,48 +10,48 @@
 use super::event;
 use super::holding;
 use super::pending;
-use super::rows as kept;
+use super::rows as job_rows;
 use super::spec;
 use super::work;
 use super::worker;
 use crate::rows;
 
-/// The most rows of progress in one transaction. The store takes 100 entries: the lease takes two, counts
-/// and workers that are not listed one each, and what was learned ten.
+/// The most progress rows in one transaction. The store accepts 100 entries: the lease takes two,
+/// the counts and the unlisted workers one each, and learned data ten.
 const MAX_ROWS: usize = 86;
-/// The most bytes of progress in one transaction. The store takes 1 MB, which is 750 KB before base64; what
-/// was learned takes 210 KB at most, and one job alone 480 KB.
+/// The most bytes of progress in one transaction. The store accepts 1 MB, which is 750 KB before
+/// base64; learned data takes 210 KB at most, and a single job 480 KB.
 const MAX_BYTES: usize = 500_000;
-/// The time between two counts of what waits; readers are promised counts of at most 2 s.
-const COUNT_EVERY: time::Duration = time::Duration::from_millis(700);
-/// How long a new holder waits with its first count until it knows which of the starts before it were taken; counts
-/// of the holder before stand for 2 s.
-const SETTLE: time::Duration = time::Duration::from_millis(1_500);
-/// The time between two writes of what was learned; some 5 KB each for six images a side.
-const LEARNED_EVERY: time::Duration = time::Duration::from_secs(2);
-/// The wait before a transaction without an answer is sent again.
-const RETRY: time::Duration = time::Duration::from_millis(150);
+/// The time between two counts of waiting jobs; readers are promised counts at most 2 s old.
+const COUNT_INTERVAL: time::Duration = time::Duration::from_millis(700);
+/// How long a new holder delays its first count until it knows which starts of its predecessor were
+/// taken; the predecessor's counts remain valid for 2 s.
+const FIRST_COUNT_DELAY: time::Duration = time::Duration::from_millis(1_500);
+/// The time between two writes of learned data, about 5 KB each with six images a side.
+const LEARNED_INTERVAL: time::Duration = time::Duration::from_secs(2);
+/// The delay before a transaction without an answer is sent again.
+const TXN_RETRY_DELAY: time::Duration = time::Duration::from_millis(150);
 
-/// What became of a transaction.
+/// The outcome of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Fate {
-    /// It stands.
-    Done,
-    /// Nothing is known yet.
-    Open,
-    /// Another host has the lease.
-    Lost,
-    /// It stands, and gave the lease up.
+pub(super) enum CommitOutcome {
+    /// It is committed.
+    Committed,
+    /// Its outcome is not known yet, or it is to be replaced by another.
+    Pending,
+    /// Another host holds the lease.
+    LeaseLost,
+    /// It is committed and released the lease.
     Released,
 }
 
-/// Returns the transaction that only writes the lease.
+/// Returns the transaction that writes only the lease.
 pub(super) fn lease_txn(
     domain: u32,
     version: u64,
-    lease: &kept::Lease,
+    lease: &job_rows::Lease,
 ) -> Result<rows::Txn, serde_json::Error> {
-    let key = kept::lease_key(domain);
+    let key = job_rows::lease_key(domain);
     let value = Some(serde_json::to_string(lease)?);
     Ok(rows::Txn {
         expects: vec![rows::Expect { key: key.clone(), version }],
@@ -58,32 +59,32 @@
     })
 }
 
-/// Returns the version of a lease row that stands as it was written.
-pub(super) fn committed_version(outcome: &rows::Outcome, lease: &kept::Lease) -> Option<u64> {
+/// Returns the version of the lease row if the transaction that wrote it is committed.
+pub(super) fn committed_version(outcome: &rows::Outcome, lease: &job_rows::Lease) -> Option<u64> {
     match outcome {
         rows::Outcome::Answered(rows::Answer::Done { version }) => Some(*version),
-        // An earlier sending of the same transaction may be what this one conflicts with.
+        // The conflict may come from an earlier attempt of the same transaction that was applied.
         rows::Outcome::Answered(rows::Answer::Conflict { rows }) => rows.iter().find_map(|row| {
-            let found: kept::Lease = serde_json::from_str(row.value.as_deref()?).ok()?;
+            let found: job_rows::Lease = serde_json::from_str(row.value.as_deref()?).ok()?;
             (found == *lease).then_some(row.version)
         }),
         rows::Outcome::Refused | rows::Outcome::Unknown => None,
     }
 }
 
-/// The rows of progress that one commit writes.
+/// The progress rows of one commit.
 #[derive(Debug, Default)]
 struct Batch {
-    /// The jobs that they belong to.
+    /// The jobs whose progress the writes contain.
     jobs: Vec<spec::JobId>,
-    /// The writes.
+    /// All changed rows of these jobs.
     writes: Vec<rows::Write>,
-    /// The length of all values.
+    /// The total length of the values.
     bytes: usize,
 }
 
 impl Batch {
-    /// Adds all changed rows of a job, or returns false where they don't fit beside the others.
+    /// Adds all changed rows of a job; returns false if they don't fit. The first job always fits.
     fn add(&mut self, job: spec::JobId, writes: Vec<rows::Write>) -> bool {
         let bytes: usize =
             writes.iter().filter_map(|write| write.value.as_ref()).map(String::len).sum();
@@ -99,7 +100,7 @@
 }
 
 impl holding::Holding {
-    /// Returns the next transaction, if one is due and none is under way.
+    /// Returns the next transaction if one is due and none is in flight.
     pub(super) fn commit(&mut self, now: time::Duration, number: u64) -> Option<event::Effect> {
         if let Some(pending) = &mut self.pending {
             if pending.again.is_none_or(|at| now < at) {
@@ -110,25 +111,26 @@
             return Some(event::Effect::Txn(number, pending.txn.clone()));
         }
         let gap = now.saturating_sub(self.committed);
-        let news = !self.dirty.is_empty() || !self.expired.is_empty() || self.leaving;
-        let wanted = gap >= self.commit_gap() && (news || self.lacks_unlisted(now));
-        if !(wanted || gap >= self.settings.renew) {
+        let has_changes = !self.dirty.is_empty() || !self.expired.is_empty() || self.leaving;
+        let due = gap >= self.commit_gap() && (has_changes || self.lacks_unlisted(now));
+        if !(due || gap >= self.settings.renew) {
             return None;
         }
-        match self.gather(now, number) {
+        match self.build_txn(now, number) {
             Ok(txn) => Some(event::Effect::Txn(number, txn)),
             Err(err) => {
-                tracing::error!(%err, "a row can't be encoded; the domain stands still");
+                tracing::error!(%err, "a row can't be encoded; nothing of the domain is committed");
                 None
             }
         }
     }
 
-    /// Takes on a renewal of the lease that was sent before the state was read: the first commit follows it.
+    /// Takes over a renewal of the lease that was sent while the state was loaded; the first commit
+    /// follows it.
     pub(super) fn adopt_renewal(
         &mut self,
         number: Option<u64>,
-        lease: &kept::Lease,
+        lease: &job_rows::Lease,
         sent: time::Duration,
     ) -> Result<(), serde_json::Error> {
         let again = number.is_none().then_some(sent);
@@ -149,12 +151,16 @@
         Ok(())
     }
 
-    /// Gathers what has changed into one transaction.
-    fn gather(&mut self, now: time::Duration, number: u64) -> Result<rows::Txn, serde_json::Error> {
+    /// Collects all uncommitted changes into one transaction.
+    fn build_txn(
+        &mut self,
+        now: time::Duration,
+        number: u64,
+    ) -> Result<rows::Txn, serde_json::Error> {
         let domain = self.settings.domain;
         let batch = self.take_dirty()?;
         let release = self.leaving && (self.release_now || self.dirty.is_empty());
-        let lease = kept::Lease {
+        let lease = job_rows::Lease {
             holder: if release { None } else { self.lease.holder.clone() },
             seq: self.lease.seq + 1,
             ..self.lease.clone()
@@ -195,12 +201,13 @@
         Ok(txn)
     }
 
-    /// Returns the least time between two commits.
+    /// Returns the minimum time between two commits.
     pub(super) fn commit_gap(&self) -> time::Duration {
         self.settings.commit.max(self.link.commit_gap())
     }
 
-    /// Takes jobs whose progress has changed, with all changed rows of each, as far as one commit may hold.
+    /// Removes jobs with changed progress from the queue, with all changed rows of each, up to the
+    /// limits of one commit.
     fn take_dirty(&mut self) -> Result<Batch, serde_json::Error> {
         let domain = self.settings.domain;
         let mut batch = Batch::default();
@@ -214,7 +221,7 @@
             let mut writes = Vec::new();
             for row in &entry.dirty {
                 let value = entry.progress.encode(&entry.job, *row)?;
-                let key = kept::progress_row_key(domain, job, *row);
+                let key = job_rows::progress_row_key(domain, job, *row);
                 writes.push(rows::Write { key, value });
             }
             if !batch.add(job, writes) {
@@ -226,7 +233,7 @@
         Ok(batch)
     }
 
-    /// Removes the progress of jobs whose own rows are gone, as far as there is room for it.
+    /// Removes the progress of jobs whose own rows are deleted, as far as the transaction has room.
     fn remove_expired(&mut self, txn: &mut rows::Txn) -> Vec<(spec::JobId, u32)> {
         let mut removed = Vec::new();
         while let Some((job, rows)) = self.expired.pop() {
@@ -235,7 +242,7 @@
                 break;
             }
             txn.writes.extend((0..rows).map(|row| rows::Write {
-                key: kept::progress_row_key(self.settings.domain, job, row),
+                key: job_rows::progress_row_key(self.settings.domain, job, row),
                 value: None,
             }));
             removed.push((job, rows));
@@ -243,18 +250,18 @@
         removed
     }
 
-    /// Adds the counts of what waits and up to when they are true, also where they have not changed: readers
-    /// trust no old ones.
+    /// Adds the counts of waiting jobs and the time up to which they hold, even if unchanged, since
+    /// readers reject old counts.
     fn add_counts(
         &mut self,
         txn: &mut rows::Txn,
         now: time::Duration,
     ) -> Result<(), serde_json::Error> {
-        if now.saturating_sub(self.counted_at) < COUNT_EVERY {
+        if now.saturating_sub(self.counted_at) < COUNT_INTERVAL {
             return Ok(());
         }
-        let settled = self.jobs_read_up_to_ms.is_some() && !self.has_open_starts();
-        if now < self.taken + SETTLE && !settled {
+        let starts_known = self.jobs_read_up_to_ms.is_some() && !self.has_unconfirmed_starts();
+        if now < self.taken + FIRST_COUNT_DELAY && !starts_known {
             return Ok(());
         }
         self.counted_at = now;
@@ -262,38 +269,39 @@
         if self.jobs_read_up_to_ms.is_none() {
             return Ok(());
         }
-        let key = kept::waiting_key(self.settings.domain);
+        let key = job_rows::waiting_key(self.settings.domain);
         let value = Some(serde_json::to_string(&self.count_waiting())?);
         txn.writes.push(rows::Write { key, value });
         Ok(())
     }
 
-    /// Returns whether it is open which starts of an earlier holder were taken, of jobs that may wait.
-    fn has_open_starts(&self) -> bool {
+    /// Returns whether jobs that may be waiting have starts of an earlier holder whose outcome is
+    /// unknown.
+    fn has_unconfirmed_starts(&self) -> bool {
         self.placed.iter().any(|(task, placed)| {
             matches!(placed.start_state, work::StartState::Inherited | work::StartState::Orphaned)
                 && self.jobs.get(&task.job).is_some_and(work::Entry::waits)
         })
     }
 
-    /// Adds what was learned, from time to time.
+    /// Adds learned data at intervals of `LEARNED_INTERVAL`.
     fn add_learned(
         &mut self,
         txn: &mut rows::Txn,
         now: time::Duration,
     ) -> Result<(), serde_json::Error> {
-        if now.saturating_sub(self.kept_at) < LEARNED_EVERY {
+        if now.saturating_sub(self.kept_at) < LEARNED_INTERVAL {
             return Ok(());
         }
         self.kept_at = now;
         for (name, value) in self.learned.rows()? {
-            let key = kept::learned_key(self.settings.domain, name);
+            let key = job_rows::learned_key(self.settings.domain, name);
             txn.writes.push(rows::Write { key, value: Some(value) });
         }
         Ok(())
     }
 
-    /// Logs how much there is to do and what is in use.
+    /// Logs the backlog of the domain and the use of its workers.
     fn log_state(&self) {
         let sum = |pick: fn(&worker::View) -> u64| self.views.values().map(pick).sum::<u64>();
         tracing::info!(
@@ -317,43 +325,44 @@
             relieved = self.starvation_starts,
             given_up = self.given_up,
             suspects = self.loss_record.len(),
-            kept_alone = self.views.values().filter(|view| view.alone.is_some()).count(),
+            kept_alone = self.views.values().filter(|view| view.reserved_for.is_some()).count(),
             look_gap_ms = worker::millis(self.link.gap()),
             link_bytes_per_s = self.settings.link_bytes_per_s,
             "domain"
         );
     }
 
-    /// Counts the jobs that wait, by queue.
-    fn count_waiting(&self) -> kept::Waiting {
+    /// Counts the waiting jobs by queue.
+    fn count_waiting(&self) -> job_rows::Waiting {
         let mut queues = collections::BTreeMap::new();
         for entry in self.jobs.values().filter(|entry| entry.waits()) {
             *queues.entry(entry.job.queue.clone()).or_insert(0) += 1;
         }
-        kept::Waiting { queues, as_of_ms: self.jobs_read_up_to_ms }
+        job_rows::Waiting { queues, as_of_ms: self.jobs_read_up_to_ms }
     }
 
-    /// Takes what is known of a transaction.
-    pub(super) fn answered(
+    /// Handles the outcome of the transaction in flight.
+    pub(super) fn handle_txn(
         &mut self,
         number: u64,
         outcome: &rows::Outcome,
         now: time::Duration,
-    ) -> Fate {
+    ) -> CommitOutcome {
         let Some(pending) = self.pending.take_if(|pending| pending.number == number) else {
-            return Fate::Open;
+            return CommitOutcome::Pending;
         };
         let version = match (committed_version(outcome, &pending.lease), outcome) {
             (Some(version), _) => version,
-            (None, rows::Outcome::Answered(_)) => return Fate::Lost,
+            (None, rows::Outcome::Answered(_)) => return CommitOutcome::LeaseLost,
             (None, rows::Outcome::Refused) => {
                 self.commit_refused(pending, now);
-                return Fate::Open;
+                return CommitOutcome::Pending;
             }
             (None, rows::Outcome::Unknown) => {
                 tracing::warn!(number, seq = pending.lease.seq, "commit in doubt, sent again");
-                self.pending = Some(pending::Pending { again: Some(now + RETRY), ..pending });
-                return Fate::Open;
+                self.pending =
+                    Some(pending::Pending { again: Some(now + TXN_RETRY_DELAY), ..pending });
+                return CommitOutcome::Pending;
             }
         };
         self.commit_limits.taken();
@@ -362,14 +371,14 @@
         let released = pending.lease.holder.is_none();
         self.lease = pending.lease;
         self.commits += 1;
-        self.recorded(&pending.ends);
+        self.mark_recorded(&pending.ends);
         for (job, _) in &pending.removed {
             self.jobs.remove(job);
         }
         if released {
-            return Fate::Released;
+            return CommitOutcome::Released;
         }
-        self.release(&pending.starts, now);
-        Fate::Done
+        self.send_committed_starts(&pending.starts, now);
+        CommitOutcome::Committed
     }
 }
--- a/crates/wharflane/src/job/ends.rs
+++ b/crates/wharflane/src/job/ends.rs
@@ -1,4 +1,5 @@
-//! Ends of runs, and what follows from them.
+//! Handles reported ends of runs: records them in the progress of their jobs, frees the tasks, and
+//! opens the next steps or ends the job.
 
 use std::time;
 
@@ -10,8 +11,8 @@
 use crate::id;
 
 impl holding::Holding {
-    /// Takes in one end.
-    pub(super) fn ended(
+    /// Handles one reported end; ends up to the last handled number are repetitions.
+    pub(super) fn handle_end(
         &mut self,
         worker: &id::Incarnation,
         ended: &order::Ended,
@@ -20,14 +21,14 @@
         let Some(view) = self.views.get_mut(worker) else {
             return;
         };
-        if ended.number <= view.heard {
+        if ended.number <= view.last_end_handled {
             tracing::debug!(
                 task = %ended.task, run = ended.run, %worker, number = ended.number,
-                heard = view.heard, how = ended.kind.label(), "end heard before"
+                heard = view.last_end_handled, how = ended.kind.label(), "repeated end ignored"
             );
             return;
         }
-        view.heard = ended.number;
+        view.last_end_handled = ended.number;
         view.note_end(ended.kind, now);
         let placed = self.placed.get(&ended.task);
         let ours = placed.is_some_and(|p| p.run == ended.run && p.worker == *worker);
@@ -37,24 +38,25 @@
         );
         self.note_begun(ended.task.job);
         if ours && ended.kind == order::EndKind::Done {
-            self.learn_time(ended.task, now);
+            self.record_run_time(ended.task, now);
         }
-        let news = self.note_end(worker, ended);
-        if !ours && !news {
+        let changed = self.note_end(worker, ended);
+        if !ours && !changed {
             return;
         }
         self.note_unrecorded(ended.task.job, worker, ended.number);
         if ours {
             self.give_back(ended.task);
         }
-        self.withdraw(ended, now);
-        self.advance(ended.task, now);
+        self.withdraw_later_runs(ended, now);
+        self.advance_job(ended.task, now);
     }
 
-    /// Notes how a run ended in its job's progress, returns whether that is news.
+    /// Records in the job's progress how a run ended; returns whether that changed anything.
     ///
-    /// A run that counts as lost may have ended before: its worker was silent then, and tells its end later. What
-    /// is acknowledged is never told again, so the end holds whichever run is the last by now.
+    /// A run that counts as lost may in fact have ended while its worker was silent, and is
+    /// reported later. An acknowledged end is never reported again, so it is recorded even if a
+    /// later run has started.
     fn note_end(&mut self, worker: &id::Incarnation, ended: &order::Ended) -> bool {
         let task = ended.task;
         let Some(entry) = self.jobs.get_mut(&task.job) else {
@@ -65,30 +67,30 @@
         };
         let (lasting, gang) = (step.lasting, step.gang.then_some(step.count));
         let state = entry.progress.tasks.entry(task.into()).or_default();
-        let mut news = state.save(ended.run, &ended.checkpoint);
+        let mut changed = state.save(ended.run, &ended.checkpoint);
         if ended.kind == order::EndKind::Failed {
             state.failed_on = Some(worker.clone());
         }
         if !lasting {
-            news |= match gang {
+            changed |= match gang {
                 Some(count) => {
                     gang::note_end(&mut entry.progress, task, count, ended.run, ended.kind)
                 }
                 None => state.note_end(ended.run, ended.kind),
             };
         }
-        if news {
+        if changed {
             self.mark_task(task);
             for index in 0..gang.unwrap_or(0) {
                 self.mark_task(spec::TaskId { index, ..task });
             }
         }
-        news
+        changed
     }
 
-    /// Takes back the starts of tasks that are done by an earlier run: those not ordered yet are never ordered,
-    /// the others stopped.
-    fn withdraw(&mut self, ended: &order::Ended, now: time::Duration) {
+    /// Withdraws the starts of tasks that an earlier run completed: those not yet ordered are
+    /// dropped, the others stopped.
+    fn withdraw_later_runs(&mut self, ended: &order::Ended, now: time::Duration) {
         if ended.kind != order::EndKind::Done {
             return;
         }
@@ -106,14 +108,17 @@
             self.ready.remove(&task);
             let later = self.placed.get(&task).filter(|placed| placed.run != ended.run);
             if let Some(run) = later.map(|placed| placed.run) {
-                tracing::info!(%task, run, done = ended.run, "done by an earlier run, withdrawn");
+                tracing::info!(
+                    %task, run, done = ended.run,
+                    "task completed by an earlier run; withdrawing the later one"
+                );
                 self.stop(task, now);
             }
         }
     }
 
-    /// Learns how long a task took that is done, where nothing held it up on the way.
-    fn learn_time(&mut self, task: spec::TaskId, now: time::Duration) {
+    /// Records the run time of a completed task, unless it was throttled or resumed.
+    fn record_run_time(&mut self, task: spec::TaskId, now: time::Duration) {
         let Some(placed) = self.placed.get(&task) else {
             return;
         };
@@ -136,8 +141,8 @@
         taken.total += time;
     }
 
-    /// Ends a job, or opens steps of it, after one of its tasks has ended.
-    fn advance(&mut self, task: spec::TaskId, now: time::Duration) {
+    /// Completes or fails a job, or opens further steps, after one of its tasks has ended.
+    fn advance_job(&mut self, task: spec::TaskId, now: time::Duration) {
         let Some(entry) = self.jobs.get(&task.job).filter(|entry| entry.active()) else {
             return;
         };
--- a/crates/wharflane/src/job/engine.rs
+++ b/crates/wharflane/src/job/engine.rs
@@ -1,4 +1,6 @@
-//! One domain on one host: watches its lease, and as its holder runs its jobs.
+//! The state machine of one domain on one host: watches the domain's lease, acquires it, and
+//! schedules the domain's jobs while it holds the lease. It does no I/O; events go in, effects come
+//! out.
 
 use std::sync;
 use std::time;
@@ -9,98 +11,100 @@
 use super::holding;
 use super::members;
 use super::queue;
-use super::rows as kept;
+use super::rows as job_rows;
 use crate::id;
 use crate::rows;
 
-/// What an engine is to its domain.
+/// The role of this host for the domain.
 #[derive(Debug)]
 pub(super) enum Role {
-    /// Another host may hold the domain.
+    /// Another host may hold the lease.
     Watching,
-    /// The lease is being taken.
+    /// The transaction that takes the lease is in flight.
     Acquiring {
-        /// The number of the transaction.
+        /// The number of that transaction.
         number: u64,
-        /// What it writes.
-        lease: kept::Lease,
-        /// When it was sent.
+        /// The lease that it writes.
+        lease: job_rows::Lease,
+        /// When the transaction was sent.
         sent: time::Duration,
-        /// The longest lease of tasks that the holder before asked for.
+        /// The longest task lease that the previous holder may have requested.
         inherited: time::Duration,
     },
-    /// The lease is taken and the state is being read.
+    /// The lease is held and the domain's state is being loaded.
     Loading {
-        /// The lease and its version.
-        lease: kept::Lease,
+        /// The lease as it was last written.
+        lease: job_rows::Lease,
         /// The version of the lease row.
         version: u64,
-        /// When the lease was taken.
+        /// When the transaction that took the lease was sent.
         taken: time::Duration,
-        /// The longest lease of tasks that the holder before asked for.
+        /// The longest task lease that the previous holder may have requested.
         inherited: time::Duration,
-        /// When the write that last renewed the lease was sent.
+        /// When the last committed renewal of the lease was sent.
         renewed: time::Duration,
-        /// The renewal under way.
+        /// The renewal in flight.
         renewal: Option<Renewal>,
     },
-    /// The domain is held.
+    /// This host holds the domain and schedules its jobs.
     Holding(Box<holding::Holding>),
 }
 
-/// A write that renews a lease while the state is being read.
+/// A write that renews the lease while the state is being loaded.
 #[derive(Clone, Debug)]
 pub(super) struct Renewal {
-    /// The number of the transaction; nothing while one without an answer is to be sent again.
+    /// The number of the transaction; absent while one without an answer waits to be sent again.
     pub number: Option<u64>,
-    /// What it writes.
-    pub lease: kept::Lease,
-    /// When it was first sent, from which the lease counts.
+    /// The lease that it writes.
+    pub lease: job_rows::Lease,
+    /// When it was first sent; the renewed lease counts from here.
     pub sent: time::Duration,
 }
 
-/// A lease as another host wrote it.
+/// A lease row as it was last read.
 #[derive(Clone, Debug)]
 pub(super) struct Seen {
-    /// The version of the row; zero where it is absent.
+    /// The version of the row; zero if the row is absent.
     pub version: u64,
-    /// What it says.
-    pub lease: kept::Lease,
-    /// Since when the row stands unchanged, by this host's clock.
+    /// The lease in the row.
+    pub lease: job_rows::Lease,
+    /// Since when the row is unchanged, by this host's clock.
     pub since: time::Duration,
 }
 
-/// One domain on one host.
+/// The state machine of one domain on one host.
 #[derive(Debug)]
 pub struct Engine {
-    /// This host.
+    /// The id of this host.
     pub(super) own: id::HostId,
-    /// The mark of this process.
+    /// A number unique to this process, which tells its lease from that of an earlier process of
+    /// the host.
     pub(super) nonce: u64,
-    /// The times.
+    /// The domain and its timing.
     pub(super) settings: event::Settings,
-    /// What this host is to the domain.
+    /// The role of this host for the domain.
     pub(super) role: Role,
-    /// The lease seen last.
+    /// The lease row as last read while watching.
     pub(super) seen: Option<Seen>,
-    /// When the lease row was last asked for.
+    /// When the lease row was last requested; absent before the first read.
     pub(super) polled: Option<time::Duration>,
-    /// The queues in force.
+    /// The queues of the configuration in force.
     pub(super) queues: sync::Arc<queue::Queues>,
     /// The workers that the store lists.
     pub(super) members: members::Members,
-    /// What it heard of closed halls.
+    /// The closed halls as last reported.
     pub(super) closed_halls: closed::ClosedHallsReading,
-    /// The number of transactions sent.
+    /// The number of transactions sent so far, which numbers the next one.
     pub(super) numbers: u64,
-    /// Whether this host is about to stop.
+    /// Whether this host is shutting down.
     pub(super) leaving: bool,
-    /// When this host last gave the domain up because it was slow.
+    /// When this host last gave the domain up for slowness.
     pub(super) yielded: Option<time::Duration>,
 }
 
 impl Engine {
-    /// Makes an engine that watches; `nonce` differs between any two processes.
+    /// Creates an engine that watches the domain's lease; `nonce` must differ between any two
+    /// processes.
     #[must_use]
     pub fn new(own: id::HostId, settings: event::Settings, nonce: u64) -> Self {
         Self {
@@ -119,16 +123,16 @@
         }
     }
 
-    /// Takes an event and returns what is to be done.
+    /// Handles an event and returns the effects to carry out.
     pub fn step(&mut self, now: time::Duration, event: event::Event) -> Vec<event::Effect> {
         if let Role::Holding(holding) = &mut self.role {
             holding.now = now;
         }
         match event {
             event::Event::Tick { wall_ms } => return self.tick(now, wall_ms),
-            event::Event::LeaseRead(row) => return self.lease_read(now, row),
+            event::Event::LeaseRead(row) => return self.handle_lease_read(now, row),
             event::Event::LeaseUnread => {}
-            event::Event::Probed { version, sign } => return self.probed(now, version, sign),
+            event::Event::Probed { version, sign } => return self.handle_probe(now, version, sign),
             event::Event::Loaded { jobs, progress, learned } => {
                 return self.loaded(now, &jobs, &progress, &learned);
             }
@@ -137,7 +141,7 @@
                     return vec![event::Effect::Load];
                 }
             }
-            event::Event::Txn { number, outcome } => return self.answered(now, number, &outcome),
+            event::Event::Txn { number, outcome } => return self.handle_txn(now, number, &outcome),
             event::Event::Leave => {
                 self.leaving = true;
                 if let Role::Holding(holding) = &mut self.role {
@@ -148,7 +152,7 @@
                 if let Role::Holding(holding) = &mut self.role {
                     tracing::warn!(
                         domain = self.settings.domain,
-                        "too slow, the domain is given up"
+                        "host too slow; giving up the domain"
                     );
                     self.yielded = Some(now);
                     holding.hand_over();
@@ -193,12 +197,12 @@
             event::Event::Closed(closed) => self.apply_closed_halls(now, closed),
             event::Event::Started { order, answer } => {
                 if let Role::Holding(holding) = &mut self.role {
-                    holding.started(&order, answer, now);
+                    holding.handle_start_answer(&order, answer, now);
                 }
             }
             event::Event::StopNotTaken(order) => {
                 if let Role::Holding(holding) = &mut self.role {
-                    holding.stop_not_taken(&order, now);
+                    holding.handle_failed_stop(&order, now);
                 }
             }
             event::Event::Advised { question, answer } => {
@@ -215,7 +219,7 @@
         self.collect_effects(now)
     }
 
-    /// Returns what the holder keeps, if this host holds the domain.
+    /// Returns the holder's state if this host holds the domain.
     #[must_use]
     pub fn holding(&self) -> Option<&holding::Holding> {
         match &self.role {
@@ -224,19 +228,20 @@
         }
     }
 
-    /// Returns whether this host has nothing of the domain left to give up.
+    /// Returns whether this host neither holds the domain nor is acquiring it, so that it may stop.
     #[must_use]
     pub fn left(&self) -> bool {
         matches!(self.role, Role::Watching)
     }
 
-    /// Returns the part of the store that belongs to the domain.
+    /// Returns the number of the domain.
     #[must_use]
     pub fn domain(&self) -> u32 {
         self.settings.domain
     }
 
-    /// Does what is due.
+    /// Runs what is due by time: the holder's timers, the renewal while loading, or the next read
+    /// of the lease.
     fn tick(&mut self, now: time::Duration, wall_ms: u64) -> Vec<event::Effect> {
         if let Role::Holding(holding) = &mut self.role {
             holding.tick(now, wall_ms);
@@ -253,7 +258,8 @@
         vec![event::Effect::ReadLease]
     }
 
-    /// Lets the holder act on what has happened.
+    /// Lets the holder act on the new state and collects its effects; steps down if a worker
+    /// rejected its fence.
     pub(super) fn collect_effects(&mut self, now: time::Duration) -> Vec<event::Effect> {
         let Role::Holding(holding) = &mut self.role else {
             return Vec::new();
@@ -264,13 +270,13 @@
         }
         if holding.fenced {
             effects.clear();
-            self.step_down(now, "a worker has seen a later holder");
+            self.step_down(now, "a worker has accepted a later holder");
         }
         effects
     }
 
-    /// Takes the answer to a transaction.
-    fn answered(
+    /// Handles the outcome of a transaction.
+    fn handle_txn(
         &mut self,
         now: time::Duration,
         number: u64,
@@ -278,20 +284,20 @@
     ) -> Vec<event::Effect> {
         match &mut self.role {
             Role::Acquiring { number: sent_number, .. } if *sent_number == number => {
-                self.acquired(now, outcome)
+                self.handle_acquire_outcome(now, outcome)
             }
             Role::Loading { .. } => {
                 self.renewed(now, number, outcome);
                 Vec::new()
             }
             Role::Holding(holding) => {
-                match holding.answered(number, outcome, now) {
-                    commit::Fate::Open | commit::Fate::Done => {}
-                    commit::Fate::Lost => {
+                match holding.handle_txn(number, outcome, now) {
+                    commit::CommitOutcome::Pending | commit::CommitOutcome::Committed => {}
+                    commit::CommitOutcome::LeaseLost => {
                         self.step_down(now, "another host has the lease");
                         return Vec::new();
                     }
-                    commit::Fate::Released => {
+                    commit::CommitOutcome::Released => {
                         self.step_down(now, "the lease was given up");
                         return Vec::new();
                     }
@@ -302,7 +308,7 @@
         }
     }
 
-    /// Gives up everything but the watch.
+    /// Drops all state of the domain and returns to watching its lease.
     pub(super) fn step_down(&mut self, now: time::Duration, why: &'static str) {
         tracing::info!(domain = self.settings.domain, why, "not the holder");
         self.role = Role::Watching;
--- a/crates/wharflane/src/job/event.rs
+++ b/crates/wharflane/src/job/event.rs
@@ -1,4 +1,4 @@
-//! What happens to an engine, what it asks for, and how it is timed.
+//! Events and effects of an engine, and the settings that time it.
 
 use std::net;
 use std::sync;
@@ -7,181 +7,183 @@
 use super::closed;
 use super::order;
 use super::queue;
-use super::rows as kept;
+use super::rows as job_rows;
 use super::spec;
 use super::tickets;
 use crate::id;
 use crate::rows;
 
-/// How an engine is timed.
+/// Domain and timing of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// The domain.
+    /// The number of the domain.
     pub domain: u32,
-    /// How long a lease row must stand unchanged before another host may take it.
+    /// How long a lease row must be unchanged before another host may take the lease.
     pub lease: time::Duration,
-    /// How much earlier a holder stops by itself, for clocks that run apart.
+    /// How long before its lease expires a holder stops acting, to allow for clock drift.
     pub margin: time::Duration,
-    /// Where this process listens, for as long as it runs.
+    /// The address on which this process listens for as long as it runs; absent if it can't be
+    /// probed.
     pub addr: Option<net::SocketAddr>,
-    /// How long a lease row must stand unchanged before its holder's process is looked for.
+    /// How long a lease row must be unchanged before its holder's process is probed.
     pub probe: time::Duration,
-    /// How long it must stand unchanged before it is taken from a holder whose host is silent.
+    /// How long a lease row must be unchanged before it is taken from a holder whose host is
+    /// silent.
     pub silence: time::Duration,
-    /// How much longer than others this host waits before it takes a lease: hosts too weak to hold a domain
-    /// with ease leave it to stronger ones.
+    /// How much longer than other hosts this host waits before it takes a lease: hosts too weak to
+    /// hold a domain with ease leave it to stronger ones.
     pub takeover_delay: time::Duration,
     /// The time between two reads of a lease that another host holds.
     pub poll: time::Duration,
-    /// The least time between two commits.
+    /// The minimum time between two commits.
     pub commit: time::Duration,
-    /// The longest time between two commits.
+    /// The maximum time between two commits, each of which renews the lease.
     pub renew: time::Duration,
-    /// The lease of tasks on a worker.
+    /// The duration of a task's lease on a worker.
     pub task_lease: time::Duration,
-    /// The longest lease that a worker grants, which earlier holders may have asked for.
+    /// The longest task lease that a worker grants; earlier holders may have requested it.
     pub task_lease_max: time::Duration,
-    /// The longest time that a stop of a task takes.
+    /// The longest time that stopping a task takes.
     pub stop: time::Duration,
-    /// How long a look waits for an end.
+    /// How long a worker delays its answer to a heartbeat while no run ends.
     pub heartbeat_wait: time::Duration,
-    /// The time between two looks at a worker where nothing runs.
+    /// The time between two heartbeats to an idle worker.
     pub idle_heartbeat_gap: time::Duration,
-    /// How long an ended job can be asked for.
+    /// How long the state of an ended job remains available.
     pub keep: time::Duration,
-    /// How long a new holder that can't hear which halls are closed starts nothing.
+    /// How long a new holder starts nothing if it can't learn which halls are closed.
     pub closed_wait: time::Duration,
-    /// What this host's link carries in a second, in bytes; nothing where it is not known.
+    /// The bandwidth of this host's link in bytes per second; absent if unknown.
     pub link_bytes_per_s: Option<u64>,
 }
 
-/// What the host of a holder answers to a connection.
+/// The result of probing a holder's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// The process listens, or its host takes connections for it.
+    /// The process listens, or its host accepts connections for it.
     Listens,
-    /// Nothing listens there.
+    /// The connection was refused: no process listens there.
     Refused,
-    /// No answer came: the host has no power, or can't be reached.
+    /// No answer: the host is down or unreachable.
     Silent,
 }
 
-/// What happens to an engine.
+/// An event that an engine handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed.
+    /// Time has passed; sent at regular intervals.
     Tick {
         /// The time of day, in milliseconds since 1970.
         wall_ms: u64,
     },
-    /// The lease row was read: a version and a value, or nothing for an absent row.
-    LeaseRead(Option<(u64, kept::Lease)>),
-    /// The lease row could not be read.
+    /// The lease row was read: its version and value, or nothing if the row is absent.
+    LeaseRead(Option<(u64, job_rows::Lease)>),
+    /// Reading the lease row failed.
     LeaseUnread,
-    /// The process of a holder was looked for.
+    /// A holder's process was probed.
     Probed {
-        /// The version of the lease row that named it.
+        /// The version of the lease row that named the holder.
         version: u64,
-        /// What its host answered.
+        /// The result of the probe.
         sign: ProbeResult,
     },
     /// All rows of the domain were read.
     Loaded {
-        /// The accepted jobs.
+        /// The rows of accepted jobs.
         jobs: Vec<rows::Row>,
-        /// How far they have come.
+        /// The rows of their progress.
         progress: Vec<rows::Row>,
-        /// What holders before have learned.
+        /// The rows of data that earlier holders learned.
         learned: Vec<rows::Row>,
     },
-    /// The rows of the domain could not be read.
+    /// Reading the rows of the domain failed.
     LoadFailed,
-    /// A transaction was answered, refused for good, or its answer was lost.
+    /// A transaction was answered or refused for good, or its answer was lost.
     Txn {
-        /// Which one.
+        /// The number of the transaction.
         number: u64,
-        /// What is known of it.
+        /// What is known of its outcome.
         outcome: rows::Outcome,
     },
-    /// The row of an old job was removed, or not.
+    /// Deleting the row of an ended job succeeded or failed.
     Dropped {
-        /// The job.
+        /// The job whose row was to be deleted.
         job: spec::JobId,
-        /// Whether it is gone.
+        /// Whether the row is deleted.
         done: bool,
     },
-    /// Rows of accepted jobs were written or read anew.
+    /// Rows of accepted jobs were written or read again.
     Jobs(Vec<rows::Row>),
-    /// All jobs that were accepted up to a time of the store's clock were told before this.
+    /// All jobs accepted up to this time of the store's clock have been delivered.
     JobsReadUpTo {
-        /// The time, in milliseconds.
+        /// The time of the store's clock, in milliseconds.
         up_to_ms: u64,
     },
-    /// The store's list of workers was read as a whole.
+    /// The store's whole list of workers was read.
     Listed(Vec<order::Member>),
-    /// One worker was listed, or is not any more.
+    /// One worker's list entry changed, or was removed.
     Member(id::WorkerId, Option<order::Member>),
-    /// The queues changed.
+    /// The configured queues changed.
     Queues(sync::Arc<queue::Queues>),
-    /// It was heard which halls are closed, changed or not.
+    /// The closed halls were reported, whether changed or not.
     Closed(closed::ClosedHalls),
-    /// A worker answered an order to start, or did not.
+    /// A worker answered an order to start a task, or the order failed.
     Started {
-        /// The order.
+        /// The order that was sent.
         order: order::Order,
-        /// The answer.
+        /// The worker's answer, or why there is none.
         answer: order::StartAnswer,
     },
-    /// A worker did not take an order to stop, or left it without an answer.
+    /// A worker did not accept an order to stop, or did not answer it.
     StopNotTaken(order::Order),
-    /// A worker answered a look, or did not.
+    /// A worker answered a heartbeat, or the heartbeat failed.
     HeartbeatAnswered {
-        /// The incarnation of the worker that was meant.
+        /// The worker incarnation that the heartbeat addressed.
         worker: id::Incarnation,
-        /// The epoch of the look.
+        /// The fence that the heartbeat carried.
         epoch: u64,
-        /// The answer.
+        /// The worker's answer, or why there is none.
         answer: order::HeartbeatAnswer,
     },
-    /// A question about the workers of a step was answered, or was not.
+    /// The advice service answered a request about a step's workers, or the request failed.
     Advised {
-        /// The question.
+        /// The request that was sent.
         question: tickets::AdviceRequest,
-        /// The answer.
+        /// The advice; absent if the request failed.
         answer: Option<tickets::Advice>,
     },
-    /// This host is about to stop.
+    /// This host is shutting down.
     Leave,
     /// This host has become too slow to hold a domain.
     Yield,
 }
 
-/// What an engine asks for.
+/// An effect that an engine requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Read the lease row.
+    /// Read the lease row of the domain.
     ReadLease,
-    /// Look for the process of a holder.
+    /// Probe the process of a holder.
     Probe {
-        /// The version of the lease row that names it.
+        /// The version of the lease row that names the holder.
         version: u64,
-        /// Where it listened.
+        /// The address on which it listened.
         addr: net::SocketAddr,
     },
     /// Read all rows of the domain.
     Load,
-    /// Send a transaction.
+    /// Send a transaction with this number.
     Txn(u64, rows::Txn),
-    /// Remove the row of a job that ended long ago.
+    /// Delete the row of a job that ended longer ago than it is kept.
     Drop(spec::JobId, rows::Txn),
-    /// Start a task.
+    /// Order a worker to start a task.
     Start(order::Start),
-    /// Stop a task.
+    /// Order a worker to stop a task.
     Stop(order::Order),
-    /// Look at a worker.
+    /// Send a heartbeat to a worker: renew its leases and read its running and ended runs.
     SendHeartbeat(order::Heartbeat),
-    /// Ask which workers may run a step.
+    /// Ask the advice service which workers may run a step.
     Ask(tickets::AdviceRequest),
-    /// Change the share at which a task works.
+    /// Change the CPU share of a running task.
     Pace(order::Pace),
 }
--- a/crates/wharflane/src/job/heartbeats.rs
+++ b/crates/wharflane/src/job/heartbeats.rs
@@ -1,4 +1,6 @@
-//! Looks at workers: leases, what runs there, what stands still.
+//! Heartbeats: the periodic requests of a holder to each worker. A heartbeat renews the leases of
+//! the worker's tasks, carries the fencing token, and is answered with the lists of running and
+//! ended runs, from which the holder corrects its view and finds unknown or stalled runs.
 
 use std::collections;
 use std::time;
@@ -12,26 +14,29 @@
 use crate::id;
 use crate::size;
 
-/// The wait after a look without an answer, and how often it may double.
-const LOOK_AGAIN: (time::Duration, u32) = (time::Duration::from_millis(100), 3);
-/// How long a look is held back for ends whose commit is open; leases of tasks are renewed at this pace then.
-const HELD_BACK: time::Duration = time::Duration::from_millis(1_000);
-/// How long a look waits where some tasks serve and others fill; tails are told this often.
-const LOOK_MIXED: time::Duration = time::Duration::from_millis(500);
-/// How long a task may show no progress until it counts as standing still.
-const STALLED: time::Duration = time::Duration::from_millis(2_000);
-/// The share from which a task that is held back must show progress, in percent.
-const FULL_SHARE: u8 = 40;
+/// The delay after a heartbeat without an answer, and how often it may double.
+const HEARTBEAT_RETRY: (time::Duration, u32) = (time::Duration::from_millis(100), 3);
+/// How long a heartbeat is deferred while reported ends are uncommitted; task leases are renewed at
+/// this interval meanwhile.
+const MAX_DEFERRAL: time::Duration = time::Duration::from_millis(1_000);
+/// How long a worker may delay its answer where both service and best-effort tasks run;
+/// latencies are reported this often.
+const MIXED_HEARTBEAT_WAIT: time::Duration = time::Duration::from_millis(500);
+/// How long a task may show no progress until it counts as stalled.
+const STALLED_AFTER: time::Duration = time::Duration::from_millis(2_000);
+/// The CPU share, in percent, from which a throttled task must show progress.
+const PROGRESS_SHARE: u8 = 40;
 
 impl holding::Holding {
-    /// Looks at the workers whose turn has come.
+    /// Sends heartbeats to the workers whose next one is due.
     pub(super) fn send_due_heartbeats(&mut self, now: time::Duration) {
         let due = self.views.iter().filter(|(_, view)| {
-            // Ends that are not committed yet would only be told again, but what runs is renewed.
-            let held_back = !view.unrecorded.is_empty() && now < view.heartbeat_due + HELD_BACK;
-            // The entry of a service that no queue names may be anybody's.
+            // Uncommitted ends would only be reported again; the delay is bounded so that leases
+            // are renewed.
+            let deferred = !view.unrecorded.is_empty() && now < view.heartbeat_due + MAX_DEFERRAL;
+            // A list entry whose service no queue names may belong to another system.
             let ours = !view.tasks.is_empty() || self.services.contains(&view.member.service);
-            ours && view.heartbeat_sent.is_none() && now >= view.heartbeat_due && !held_back
+            ours && view.heartbeat_sent.is_none() && now >= view.heartbeat_due && !deferred
         });
         let due: Vec<id::Incarnation> = due.map(|(worker, _)| worker.clone()).collect();
         for worker in due {
@@ -39,7 +44,8 @@
         }
     }
 
-    /// Looks at a worker; where a start is to be given up, the answer is wanted at once.
+    /// Sends a heartbeat to a worker; if a start is being abandoned there, the answer is requested
+    /// without delay.
     fn send_heartbeat(&mut self, worker: &id::Incarnation, now: time::Duration) {
         let unsettled = self.unsettled.remove(worker);
         if unsettled {
@@ -50,13 +56,13 @@
             return;
         };
         let busy = !view.tasks.is_empty();
-        // A silent worker is granted nothing more, or its leases would never be over.
-        let granted = busy && view.misses == 0;
+        // A silent worker is granted no further lease, or its leases would never expire.
+        let granted = busy && view.missed_heartbeats == 0;
         let lease_until_ms = if granted { view.grant(now, self.settings.task_lease) } else { None };
         let mixed = !view.serving.is_empty() && !view.filling.is_empty();
         let wait = match (view.fenced && busy && !unsettled, mixed) {
             (false, _) => time::Duration::ZERO,
-            (true, true) => self.settings.heartbeat_wait.min(LOOK_MIXED),
+            (true, true) => self.settings.heartbeat_wait.min(MIXED_HEARTBEAT_WAIT),
             (true, false) => self.settings.heartbeat_wait,
         };
         view.heartbeat_sent = Some(now);
@@ -64,13 +70,13 @@
             worker: worker.clone(),
             addr: view.member.addr,
             epoch,
-            seen: view.seen(),
+            seen: view.acknowledged_end(),
             lease_until_ms,
             wait,
         }));
     }
 
-    /// Takes the answer to a look.
+    /// Handles the answer to a heartbeat.
     pub(super) fn handle_heartbeat_answer(
         &mut self,
         worker: &id::Incarnation,
@@ -81,14 +87,14 @@
         if !self.is_own(epoch) {
             return;
         }
-        // A look that the holder's own later order overtook was not answered.
+        // A heartbeat that a later order of the same holder overtook counts as unanswered.
         let overtaken = answer == order::HeartbeatAnswer::Fenced && epoch < self.fence(worker);
         match answer.other_incarnation(worker) {
             Some(next) if worker.is_before(&next) => {
-                return self.next_incarnation_answered(worker, next, now);
+                return self.handle_next_incarnation(worker, next, now);
             }
             Some(past) => {
-                tracing::warn!(%worker, %past, "a life that is over answers");
+                tracing::warn!(%worker, %past, "answer from an earlier incarnation ignored");
                 answer = order::HeartbeatAnswer::Silent;
             }
             None => {}
@@ -102,18 +108,21 @@
         let sent = view.heartbeat_sent.take();
         match answer {
             order::HeartbeatAnswer::Lists(lists) => {
-                if view.misses > 0 {
-                    tracing::info!(%worker, misses = view.misses, "worker answers again");
+                if view.missed_heartbeats > 0 {
+                    tracing::info!(
+                        %worker, misses = view.missed_heartbeats, "worker answers again"
+                    );
                 }
-                view.misses = 0;
+                view.missed_heartbeats = 0;
                 view.lapsed.clear();
-                view.told = lists.ended.last().map_or(0, |ended| ended.number);
-                view.sample = Some((lists.clock_ms, now));
+                view.last_end_listed = lists.ended.last().map_or(0, |ended| ended.number);
+                view.last_answer = Some((lists.clock_ms, now));
                 let first = !view.fenced;
                 if first {
-                    // Earlier holders may have granted as much as the worker allows until now.
+                    // Earlier holders may have granted leases up to the longest that the worker
+                    // allows.
                     let inherited = lists.clock_ms + worker::millis(view.inherited.lease);
-                    view.granted_ms = view.granted_ms.max(inherited);
+                    view.granted_until_ms = view.granted_until_ms.max(inherited);
                 }
                 view.fenced = true;
                 view.heartbeat_due = if view.tasks.is_empty() {
@@ -122,23 +131,23 @@
                     now + self.link.gap()
                 };
                 self.changed |= first;
-                self.take_lists(worker, (epoch, &lists), sent.unwrap_or(now), now);
+                self.apply_lists(worker, (epoch, &lists), sent.unwrap_or(now), now);
             }
             order::HeartbeatAnswer::Fenced => self.fenced = true,
-            order::HeartbeatAnswer::Gone => self.worker_gone(worker),
+            order::HeartbeatAnswer::Gone => self.remove_worker(worker),
             order::HeartbeatAnswer::Silent => {
-                if view.misses == 0 {
+                if view.missed_heartbeats == 0 {
                     tracing::warn!(%worker, "worker does not answer");
                 }
-                view.misses += 1;
-                let (first, doublings) = LOOK_AGAIN;
-                view.heartbeat_due = now + first * 2u32.pow(view.misses.min(doublings));
+                view.missed_heartbeats += 1;
+                let (first, doublings) = HEARTBEAT_RETRY;
+                view.heartbeat_due = now + first * 2u32.pow(view.missed_heartbeats.min(doublings));
             }
         }
     }
 
-    /// Takes in both lists of a worker, in answer to a look with a fence.
-    fn take_lists(
+    /// Handles the lists of running and ended runs that answered a heartbeat with a fencing token.
+    fn apply_lists(
         &mut self,
         worker: &id::Incarnation,
         (fence, lists): (u64, &order::Lists),
@@ -146,7 +155,7 @@
         now: time::Duration,
     ) {
         for ended in &lists.ended {
-            self.ended(worker, ended, now);
+            self.handle_end(worker, ended, now);
         }
         let running: collections::BTreeMap<spec::TaskId, u32> =
             lists.running.iter().map(|row| (row.task, row.run)).collect();
@@ -154,10 +163,11 @@
             return;
         };
         let leaving = view.member.leaving;
-        let here: Vec<spec::TaskId> = view.tasks.iter().copied().collect();
+        let placed_here: Vec<spec::TaskId> = view.tasks.iter().copied().collect();
         let mut adopted = collections::BTreeSet::new();
-        for task in here {
-            let over = self.gives_up(task) && self.is_over(task, fence, lists);
+        for task in placed_here {
+            let ruled_out =
+                self.is_start_abandoned(task) && self.is_start_ruled_out(task, fence, lists);
             let Some(placed) = self.placed.get_mut(&task) else {
                 continue;
             };
@@ -177,17 +187,19 @@
                     }
                     placed.start_state = work::StartState::Confirmed(now);
                 }
-                // The fence of this look is above all orders for the incarnation before.
+                // The token of this heartbeat is above those of all orders to the previous
+                // incarnation.
                 work::StartState::Orphaned if fence > placed.doubt.fence => {
-                    self.free(task, "lost with the last life of its worker");
+                    self.free(task, "lost with the previous incarnation of its worker");
                 }
-                // This epoch's look was answered, so no earlier holder's start can come any more.
-                work::StartState::Inherited => self.free(task, "not there"),
-                work::StartState::Unanswered(_) | work::StartState::Expiring if over => {
-                    self.free(task, "its start can't be carried out any more");
+                // The worker has seen this epoch, so a start by an earlier holder can't arrive any
+                // more.
+                work::StartState::Inherited => self.free(task, "not running on its worker"),
+                work::StartState::Unanswered(_) | work::StartState::Expiring if ruled_out => {
+                    self.free(task, "its start can no longer be carried out");
                 }
                 work::StartState::Confirmed(at) if !runs && at <= sent => {
-                    self.free(task, "not there")
+                    self.free(task, "not running on its worker")
                 }
                 work::StartState::Confirmed(_)
                 | work::StartState::Staged
@@ -205,21 +217,23 @@
                 self.clear_suspect(row.task);
             }
             if !ours {
-                self.stop_stray(worker, row);
-            } else if !self.should_run(row.task) || leaving && self.leaves(row.task, row.percent) {
+                self.stop_unknown_run(worker, row);
+            } else if !self.should_run(row.task)
+                || leaving && self.should_evict(row.task, row.percent)
+            {
                 self.stop(row.task, now);
             }
         }
         for task in &adopted {
             self.isolate_start(*task, worker);
         }
-        self.note_strays(worker, lists);
+        self.count_unknown_runs(worker, lists);
         self.adopt_shares(worker, lists, &adopted, now);
         self.update_shares(worker, lists, now);
         self.stop_stalled(worker, lists, now);
     }
 
-    /// Stops what stands still on a worker, so that it goes on elsewhere, and lets the worker rest.
+    /// Stops stalled tasks so that they continue elsewhere, and quarantines the worker.
     fn stop_stalled(
         &mut self,
         worker: &id::Incarnation,
@@ -235,26 +249,27 @@
             let Some(placed) = self.placed.get_mut(&row.task) else {
                 continue;
             };
-            let moves = placed.progress.0 != row.percent || share.is_some_and(|s| s < FULL_SHARE);
+            let moves =
+                placed.progress.0 != row.percent || share.is_some_and(|s| s < PROGRESS_SHARE);
             if moves || step.is_none_or(|step| step.lasting || step.gang) {
                 placed.progress = (row.percent, now);
-            } else if now.saturating_sub(placed.progress.1) >= STALLED {
+            } else if now.saturating_sub(placed.progress.1) >= STALLED_AFTER {
                 stalled.push(row.task);
             }
         }
         let Some(view) = self.views.get_mut(worker).filter(|_| !stalled.is_empty()) else {
             return;
         };
-        tracing::warn!(%worker, tasks = stalled.len(), "tasks stand still, the worker rests");
+        tracing::warn!(%worker, tasks = stalled.len(), "tasks stalled; worker quarantined");
         view.quarantine(now);
         for task in stalled {
             self.stop(task, now);
         }
     }
 
-    /// Counts the room of runs that are none of this holder's: it is free only once their ends are listed. A run of
-    /// which the size is not known may have all of it.
-    fn note_strays(&mut self, worker: &id::Incarnation, lists: &order::Lists) {
+    /// Counts the capacity of runs that this holder didn't place; it is free only once their ends
+    /// are reported. A run of unknown size counts as the worker's whole capacity.
+    fn count_unknown_runs(&mut self, worker: &id::Incarnation, lists: &order::Lists) {
         let mut taken = size::Size::default();
         for row in &lists.running {
             let known = self.placed.get(&row.task);
@@ -268,17 +283,17 @@
             taken = taken.plus(&room);
         }
         if let Some(view) = self.views.get_mut(worker) {
-            self.changed |= view.strays != taken;
-            view.strays = taken;
+            self.changed |= view.unknown_capacity != taken;
+            view.unknown_capacity = taken;
         }
     }
 
-    /// Stops a run that nobody knows of.
-    fn stop_stray(&mut self, worker: &id::Incarnation, row: &order::Running) {
+    /// Stops a run that this holder didn't place.
+    fn stop_unknown_run(&mut self, worker: &id::Incarnation, row: &order::Running) {
         let Some(view) = self.views.get(worker) else {
             return;
         };
-        tracing::warn!(task = %row.task, run = row.run, %worker, "unknown run is stopped");
+        tracing::warn!(task = %row.task, run = row.run, %worker, "stopping an unknown run");
         self.out.push(event::Effect::Stop(order::Order {
             worker: worker.clone(),
             addr: view.member.addr,
--- a/crates/wharflane/src/job/incarnations.rs
+++ b/crates/wharflane/src/job/incarnations.rs
@@ -1,9 +1,11 @@
-//! Incarnations of workers that follow one another under the same id.
+//! Handles consecutive incarnations of a worker, which share its id.
 //!
-//! The next incarnation knows nothing of the last one, and nothing that was known of the last one holds for it: each has a view of
-//! its own. What it may share are orders. They name a worker by its id, so that one which was meant for the last incarnation may
-//! be carried out by the next, at once or late. A task that was ordered there is therefore not started anew until the
-//! next incarnation has answered a look with a fence above that order: it shows whether the run is there, and none comes later.
+//! A new incarnation knows nothing of the previous one, and nothing known of the previous one holds
+//! for it, so each has its own view. They may share orders, though: an order names a worker by its
+//! id, so one meant for the previous incarnation may be carried out by the next, even late. A task
+//! that was ordered there is therefore not restarted until the next incarnation has answered a
+//! heartbeat with a fence above that order, which shows whether the run is there and prevents a
+//! late one.
 
 use std::collections;
 use std::time;
@@ -16,11 +18,11 @@
 use super::worker;
 use crate::id;
 
-/// How long after it was sent an order without an answer may be carried out at the latest.
-const LATEST_ORDER: time::Duration = time::Duration::from_secs(12);
+/// The longest time after which an order without an answer may still be carried out.
+const MAX_ORDER_DELAY: time::Duration = time::Duration::from_secs(12);
 
 impl holding::Holding {
-    /// Begins the view of an incarnation; those of the same worker before it are over.
+    /// Begins the view of an incarnation and ends those of the worker's earlier ones.
     pub(super) fn begin_incarnation(
         &mut self,
         member: order::Member,
@@ -52,18 +54,18 @@
         self.views.insert(incarnation.clone(), view);
         self.changed = true;
         for task in &orphans {
-            self.hand_on(*task, &incarnation, now);
+            self.move_to_incarnation(*task, &incarnation, now);
         }
         for task in here.iter().chain(&orphans) {
-            self.set_aside_room(*task, &incarnation);
+            self.reserve_capacity(*task, &incarnation);
         }
         for task in orphans {
             self.give_up_if_lost(task, now);
         }
     }
 
-    /// Takes note of a later incarnation that answered where one was meant.
-    pub(super) fn next_incarnation_answered(
+    /// Handles an answer from a later incarnation than the one addressed.
+    pub(super) fn handle_next_incarnation(
         &mut self,
         meant: &id::Incarnation,
         incarnation: id::Incarnation,
@@ -72,12 +74,14 @@
         let Some(view) = self.views.get(meant) else {
             return;
         };
-        // Its room and its kind may be others: nothing new goes there until the store lists it.
+        // Its capacity and type may differ, so nothing new is placed there until the store lists
+        // it.
         let member = order::Member { incarnation, ..view.member.clone() };
         self.begin_incarnation(member, false, now);
     }
 
-    /// Ends an incarnation that another one follows; returns the tasks of which an order may have reached the next incarnation.
+    /// Ends an incarnation that another one follows; returns the tasks whose orders may have
+    /// reached the next one.
     fn end_incarnation(
         &mut self,
         past: &id::Incarnation,
@@ -88,33 +92,37 @@
             view.listed = false;
         }
         self.restarted += 1;
-        tracing::warn!(worker = %past, %next, tasks = here.len(), "worker has started again");
-        // A row of an older version does not tell which incarnation it means: it may be the one that lives.
+        tracing::warn!(worker = %past, %next, tasks = here.len(), "worker restarted");
+        // A row of an older version doesn't name the incarnation, which may be the one that still
+        // runs.
         if past.born_ms.is_some() {
-            self.note_end_of_incarnation(past, &here);
+            self.handle_incarnation_end(past, &here);
         }
-        // Orders for the past incarnation bring the fence of today: the next incarnation is to see a higher one first.
+        // Orders to the past incarnation carry the current fence, so the next one must first see a
+        // higher one.
         if self.is_own(self.fence(past) + 1) {
             *self.fence_offsets.entry(past.worker.clone()).or_insert(0) += 1;
         }
         self.views.remove(past);
         self.unsettled.remove(past);
         let (ordered, others): (Vec<_>, Vec<_>) =
-            here.into_iter().partition(|task| self.may_reach_the_next_incarnation(*task));
+            here.into_iter().partition(|task| self.may_reach_next_incarnation(*task));
         for task in others {
-            self.free(task, "its worker has started again before its start was ordered");
+            self.free(task, "worker restarted before the start was ordered");
         }
         ordered
     }
 
-    /// Returns whether an order to start a task may be carried out by the incarnation that follows the one it was meant for.
-    fn may_reach_the_next_incarnation(&self, task: spec::TaskId) -> bool {
+    /// Returns whether an order to start a task may be carried out by the incarnation after the one
+    /// addressed.
+    fn may_reach_next_incarnation(&self, task: spec::TaskId) -> bool {
         self.placed.get(&task).is_some_and(|placed| {
-            placed.start_state == work::StartState::Orphaned || crash::was_ordered_there(placed)
+            placed.start_state == work::StartState::Orphaned
+                || crash::may_have_received_order(placed)
         })
     }
 
-    /// Returns what may run on an incarnation before it first answers.
+    /// Returns what may run on an incarnation before its first answer.
     fn inherited_by(
         &self,
         orphans: &[spec::TaskId],
@@ -129,15 +137,20 @@
             placed.doubt.unanswered > 0
                 || !matches!(placed.start_state, work::StartState::Confirmed(_))
         });
-        let late = if open.next().is_some() { LATEST_ORDER } else { time::Duration::ZERO };
-        // Whatever an order for the past incarnation asked for by the clock of that incarnation, it is cut to this.
+        let late = if open.next().is_some() { MAX_ORDER_DELAY } else { time::Duration::ZERO };
+        // Whatever lease an order for the past incarnation requested, the worker cuts it to this.
         let lease = self.settings.task_lease_max;
-        worker::Inherited { lease, until: now + late + worker::longest(lease) }
+        worker::Inherited { lease, until: now + late + worker::longest_by_holder_clock(lease) }
     }
 
-    /// Hands a task whose run was lost with the past incarnation of its worker to the next one, which may have been given the
-    /// same order.
-    fn hand_on(&mut self, task: spec::TaskId, incarnation: &id::Incarnation, now: time::Duration) {
+    /// Moves a task whose run was lost with the past incarnation of its worker to the next one,
+    /// which may have received the same order.
+    fn move_to_incarnation(
+        &mut self,
+        task: spec::TaskId,
+        incarnation: &id::Incarnation,
+        now: time::Duration,
+    ) {
         let Some(placed) = self.placed.get_mut(&task) else {
             return;
         };
@@ -151,8 +164,8 @@
         self.mark_task(task);
     }
 
-    /// Sets the room of a placed task aside on its worker.
-    fn set_aside_room(&mut self, task: spec::TaskId, incarnation: &id::Incarnation) {
+    /// Reserves the capacity of a placed task on its worker.
+    fn reserve_capacity(&mut self, task: spec::TaskId, incarnation: &id::Incarnation) {
         let entry = self.jobs.get(&task.job);
         let step = entry.and_then(|entry| entry.job.step(task.step));
         if let (Some(step), Some(view)) = (step, self.views.get_mut(incarnation)) {
--- a/crates/wharflane/src/job/loss_record.rs
+++ b/crates/wharflane/src/job/loss_record.rs
@@ -1,4 +1,5 @@
-//! The tasks under which workers were lost, and the losses that none of them explains.
+//! Records the tasks under which workers were lost, and the recent losses without a suspect among
+//! the worker's tasks.
 
 use std::collections;
 use std::time;
@@ -6,41 +7,41 @@
 use super::spec;
 use crate::id;
 
-/// The most losses without a cause among the tasks that are remembered: more say nothing more.
-const MOST_REMEMBERED: usize = 1_000;
-/// How long a worker that was lost is taken for one that may be lost again, in whichever incarnation.
-const UNSTEADY: time::Duration = time::Duration::from_secs(60);
+/// The most losses without a suspect that are remembered; more would not change any decision.
+const MAX_REMEMBERED: usize = 1_000;
+/// How long after a loss a worker counts as unsteady, in whichever incarnation.
+const UNSTEADY_FOR: time::Duration = time::Duration::from_secs(60);
 
-/// What may have caused the loss of a worker.
+/// The possible cause of a worker's loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Cause {
-    /// Nothing had just started there.
-    Elsewhere,
-    /// A task that had just started.
-    Start,
+    /// No task had just started there, so the cause lies elsewhere.
+    NoSuspect,
+    /// A task had just started there and may have crashed it.
+    Suspect,
 }
 
-/// The tasks under which a worker was lost, as far as that still counts, and how workers were lost lately.
+/// The tasks under which losses of workers still count, and the recent losses of workers.
 #[derive(Debug, Default)]
 pub(super) struct LossRecord {
-    /// The tasks, with the workers that this holder saw being lost under them.
+    /// The tasks, each with the workers that this holder saw being lost under it.
     tasks: collections::BTreeMap<spec::TaskId, collections::BTreeSet<id::WorkerId>>,
-    /// The tasks whose next start is held back.
-    held: collections::BTreeSet<spec::TaskId>,
-    /// When workers were lost where nothing had just started, the latest last.
-    elsewhere: collections::VecDeque<time::Duration>,
-    /// When a worker was last lost, as far as is known, where nothing had just started.
-    last_elsewhere: Option<time::Duration>,
-    /// When incarnations of a worker ended lately, the latest last.
+    /// The tasks whose next start is deferred.
+    deferred: collections::BTreeSet<spec::TaskId>,
+    /// When workers were lost without a suspect, latest last.
+    without_suspect: collections::VecDeque<time::Duration>,
+    /// When a worker was last lost without a suspect, or may have been.
+    last_without_suspect: Option<time::Duration>,
+    /// When incarnations of each worker recently ended, latest last.
     ends: collections::BTreeMap<id::WorkerId, collections::VecDeque<time::Duration>>,
 }
 
 impl LossRecord {
-    /// Adds a task under which an earlier holder saw a worker being lost. What else was lost then is not known, so it is
-    /// taken for a trouble that lasted until now.
+    /// Adds a task with a loss recorded by an earlier holder. The other losses of that time are
+    /// unknown, so they are assumed to have lasted until now.
     pub fn inherit(&mut self, task: spec::TaskId, now: time::Duration) {
         self.tasks.entry(task).or_default();
-        self.last_elsewhere = Some(now);
+        self.last_without_suspect = Some(now);
     }
 
     /// Adds a task with the worker that was lost under it.
@@ -48,7 +49,7 @@
         self.tasks.entry(task).or_default().insert(worker.clone());
     }
 
-    /// Returns whether a worker was lost under a task, and that still counts.
+    /// Returns whether a loss of a worker counts under a task.
     pub fn contains(&self, task: spec::TaskId) -> bool {
         self.tasks.contains_key(&task)
     }
@@ -58,68 +59,68 @@
         self.tasks.get(&task).is_some_and(|workers| workers.contains(worker))
     }
 
-    /// Returns how many tasks there are.
+    /// Returns the number of tasks under which losses count.
     pub fn len(&self) -> usize {
         self.tasks.len()
     }
 
-    /// Notes that the next start of a task is held back; returns whether that is news.
-    pub fn begin_hold(&mut self, task: spec::TaskId) -> bool {
-        self.held.insert(task)
+    /// Marks the next start of a task as deferred; returns false if it was already.
+    pub fn mark_deferred(&mut self, task: spec::TaskId) -> bool {
+        self.deferred.insert(task)
     }
 
-    /// Notes that a task is started.
-    pub fn end_hold(&mut self, task: spec::TaskId) {
-        self.held.remove(&task);
+    /// Clears the mark of a deferred start once the task is started.
+    pub fn clear_deferred(&mut self, task: spec::TaskId) {
+        self.deferred.remove(&task);
     }
 
-    /// Forgets a task whose losses count no more.
+    /// Forgets a task whose losses no longer count.
     pub fn forget(&mut self, task: spec::TaskId) {
         self.tasks.remove(&task);
-        self.held.remove(&task);
+        self.deferred.remove(&task);
     }
 
-    /// Forgets the tasks of a job.
+    /// Forgets all tasks of a job.
     pub fn forget_job(&mut self, job: spec::JobId) {
         self.tasks.retain(|task, _| task.job != job);
-        self.held.retain(|task| task.job != job);
+        self.deferred.retain(|task| task.job != job);
     }
 
-    /// Notes the end of a worker's incarnation that was not planned.
+    /// Records the unplanned end of a worker's incarnation.
     pub fn note_end(&mut self, worker: &id::WorkerId, cause: Cause, now: time::Duration) {
-        if cause == Cause::Elsewhere {
-            if self.elsewhere.len() >= MOST_REMEMBERED {
-                self.elsewhere.pop_front();
+        if cause == Cause::NoSuspect {
+            if self.without_suspect.len() >= MAX_REMEMBERED {
+                self.without_suspect.pop_front();
             }
-            self.elsewhere.push_back(now);
-            self.last_elsewhere = Some(now);
+            self.without_suspect.push_back(now);
+            self.last_without_suspect = Some(now);
         }
-        let since = now.saturating_sub(UNSTEADY);
+        let since = now.saturating_sub(UNSTEADY_FOR);
         self.ends.retain(|_, ends| ends.back().is_some_and(|last| *last >= since));
         let ends = self.ends.entry(worker.clone()).or_default();
         ends.retain(|end| *end >= since);
         ends.push_back(now);
     }
 
-    /// Returns how many incarnations of a worker have ended lately.
-    pub fn ends(&self, worker: &id::WorkerId, now: time::Duration) -> usize {
-        let since = now.saturating_sub(UNSTEADY);
+    /// Returns how many incarnations of a worker have ended within `UNSTEADY_FOR`.
+    pub fn recent_ends(&self, worker: &id::WorkerId, now: time::Duration) -> usize {
+        let since = now.saturating_sub(UNSTEADY_FOR);
         let ends = self.ends.get(worker);
         ends.map_or(0, |ends| ends.iter().rev().take_while(|end| **end >= since).count())
     }
 
-    /// Returns when an incarnation last ended that was not planned.
+    /// Returns when an incarnation of any worker last ended unplanned.
     pub fn last_end(&self) -> Option<time::Duration> {
         self.ends.values().filter_map(|ends| ends.back().copied()).max()
     }
 
-    /// Returns how many workers were lost since a time where nothing had just started.
-    pub fn elsewhere(&self, since: time::Duration) -> usize {
-        self.elsewhere.iter().rev().take_while(|at| **at >= since).count()
+    /// Returns how many workers were lost without a suspect since a time.
+    pub fn without_suspect(&self, since: time::Duration) -> usize {
+        self.without_suspect.iter().rev().take_while(|at| **at >= since).count()
     }
 
-    /// Returns when a worker was last lost, as far as is known, where nothing had just started.
-    pub fn last_elsewhere(&self) -> Option<time::Duration> {
-        self.last_elsewhere
+    /// Returns when a worker was last lost without a suspect, or may have been.
+    pub fn last_without_suspect(&self) -> Option<time::Duration> {
+        self.last_without_suspect
     }
 }
--- a/crates/wharflane/src/job/lost.rs
+++ b/crates/wharflane/src/job/lost.rs
@@ -1,4 +1,4 @@
-//! Workers whose incarnation is over, or whose leases have lapsed, and the tasks that were on them.
+//! Frees the tasks of workers that ended, or whose leases have expired without an answer.
 
 use std::collections;
 use std::time;
@@ -9,35 +9,36 @@
 use super::worker;
 use crate::id;
 
-/// The fewest silent workers that speak of the holder's own trouble: fewer than a rack may fail together.
+/// The fewest silent workers that suggest a fault of this host rather than theirs; fewer may fail
+/// together with a rack.
 const MANY_SILENT: usize = 4;
 
 impl holding::Holding {
-    /// Frees everything on a worker whose incarnation is known to be over.
-    pub(super) fn worker_gone(&mut self, worker: &id::Incarnation) {
+    /// Frees all tasks of a worker incarnation that is known to be over.
+    pub(super) fn remove_worker(&mut self, worker: &id::Incarnation) {
         let Some(view) = self.views.get_mut(worker) else {
             return;
         };
         let tasks: Vec<spec::TaskId> = view.tasks.iter().copied().collect();
         tracing::warn!(
             %worker, tasks = tasks.len(), listed = view.listed, leaving = view.member.leaving,
-            silent_ms = view.silence(self.now).map(worker::millis), "worker's life is over"
+            silent_ms = view.silence(self.now).map(worker::millis), "worker incarnation ended"
         );
         view.listed = false;
-        self.note_end_of_incarnation(worker, &tasks);
-        self.free_each(&tasks, "worker gone");
+        self.handle_incarnation_end(worker, &tasks);
+        self.free_tasks(&tasks, "worker gone");
         self.views.remove(worker);
     }
 
-    /// Frees tasks whose worker is lost, tells how long they were at work there as far as that is known, and gives up
-    /// those under which too many were lost.
+    /// Frees tasks whose worker is lost, counts the loss, and fails the jobs of tasks under which
+    /// too many workers were lost.
     fn free_lost(&mut self, tasks: &[spec::TaskId], why: &'static str) {
-        self.note_loss(tasks);
-        self.free_each(tasks, why);
+        self.count_worker_loss(tasks);
+        self.free_tasks(tasks, why);
     }
 
-    /// Frees tasks whose worker is lost, once the loss was noted.
-    fn free_each(&mut self, tasks: &[spec::TaskId], why: &'static str) {
+    /// Frees tasks whose worker is lost, after the loss was counted.
+    fn free_tasks(&mut self, tasks: &[spec::TaskId], why: &'static str) {
         for task in tasks {
             if let Some(placed) = self.placed.get(task) {
                 tracing::info!(
@@ -51,14 +52,16 @@
         }
     }
 
-    /// Frees the tasks of silent workers once everything granted there has lapsed.
+    /// Frees the tasks of silent workers once all leases granted there have expired.
     pub(super) fn free_lapsed(&mut self, now: time::Duration) {
-        if self.are_many_silent() {
+        if self.are_most_silent() {
             self.mass_silence_at = Some(now);
         }
-        let since = now.saturating_sub(self.doubt_of_own(now));
+        let since = now.saturating_sub(self.silence_allowance(now));
         let silent = self.views.iter().filter(|(_, view)| {
-            (view.misses > 0 || !view.listed) && !view.tasks.is_empty() && view.lapsed(since)
+            (view.missed_heartbeats > 0 || !view.listed)
+                && !view.tasks.is_empty()
+                && view.lapsed(since)
         });
         let silent: Vec<id::Incarnation> = silent.map(|(worker, _)| worker.clone()).collect();
         for worker in silent {
@@ -67,38 +70,43 @@
             };
             let tasks: Vec<spec::TaskId> = view.tasks.iter().copied().collect();
             tracing::warn!(
-                %worker, tasks = tasks.len(), granted_ms = view.granted_ms,
-                clock_ms = view.clock_ms(now), "leases of a silent worker have lapsed"
+                %worker, tasks = tasks.len(), granted_ms = view.granted_until_ms,
+                clock_ms = view.clock_ms(now), "leases of a silent worker have expired"
             );
-            self.remember_lapsed(&worker, &tasks);
-            self.free_lost(&tasks, "lease lapsed");
+            self.record_lapsed(&worker, &tasks);
+            self.free_lost(&tasks, "lease expired");
         }
         self.views
             .retain(|_, view| view.listed || !view.tasks.is_empty() || !view.unrecorded.is_empty());
-        self.drop_inherited(now);
+        self.free_inherited(now);
     }
 
-    /// Returns how much longer than their leases tasks of silent workers are kept, since the silence may be this host's.
+    /// Returns how much longer than their leases tasks of silent workers are kept, since the
+    /// silence may be this host's fault.
     ///
-    /// Where most workers are silent at once, their answers are rather late than they are gone, and the next ones tell
-    /// which runs are done. Nothing is lost by waiting: tasks that were freed could only go to the few that answer.
-    /// The doubt lasts for a lease after most were silent: they answer one after the other.
-    fn doubt_of_own(&self, now: time::Duration) -> time::Duration {
-        let hold = self.settings.task_lease;
-        let doubted = self.mass_silence_at.is_some_and(|at| now.saturating_sub(at) < hold);
-        if doubted { hold } else { time::Duration::ZERO }
+    /// If most workers are silent at once, they are more likely slow to answer than gone, and their
+    /// next answers report which runs are done. Waiting costs nothing, since freed tasks could only
+    /// go to the few workers that answer. The extension applies for one lease time after most were
+    /// silent, because they answer one after the other.
+    fn silence_allowance(&self, now: time::Duration) -> time::Duration {
+        let task_lease = self.settings.task_lease;
+        let extended = self.mass_silence_at.is_some_and(|at| now.saturating_sub(at) < task_lease);
+        if extended { task_lease } else { time::Duration::ZERO }
     }
 
-    /// Returns whether most of the workers on which something runs don't answer.
-    fn are_many_silent(&self) -> bool {
+    /// Returns whether at least half of the busy workers, and no fewer than `MANY_SILENT`, don't
+    /// answer.
+    fn are_most_silent(&self) -> bool {
         let busy = self.views.values().filter(|view| view.listed && !view.tasks.is_empty());
-        let (silent, all) = busy
-            .fold((0, 0), |(silent, all), view| (silent + usize::from(view.misses > 0), all + 1));
+        let (silent, all) = busy.fold((0, 0), |(silent, all), view| {
+            (silent + usize::from(view.missed_heartbeats > 0), all + 1)
+        });
         silent >= MANY_SILENT && silent * 2 >= all
     }
 
-    /// Frees tasks inherited on workers that nobody lists, once earlier grants are over.
-    fn drop_inherited(&mut self, now: time::Duration) {
+    /// Frees inherited tasks on workers that are not listed, once the leases from earlier holders
+    /// have expired.
+    fn free_inherited(&mut self, now: time::Duration) {
         if now < self.inherited_until() {
             return;
         }
@@ -111,12 +119,12 @@
             by_worker.entry(placed.worker.clone()).or_default().push(*task);
         }
         for tasks in by_worker.values() {
-            self.free_lost(tasks, "lease lapsed, worker unknown");
+            self.free_lost(tasks, "lease expired; worker unknown");
         }
     }
 
-    /// Returns when everything that earlier holders granted is over.
+    /// Returns when all leases that earlier holders granted have expired.
     pub(super) fn inherited_until(&self) -> time::Duration {
-        self.taken + worker::longest(self.inherited)
+        self.taken + worker::longest_by_holder_clock(self.inherited)
     }
 }
--- a/crates/wharflane/src/job/members.rs
+++ b/crates/wharflane/src/job/members.rs
@@ -1,4 +1,4 @@
-//! The workers that the store lists, as a holder follows them.
+//! Follows the store's list of workers and applies its changes to the holder's views.
 
 use std::collections;
 use std::time;
@@ -8,12 +8,12 @@
 use super::spec;
 use crate::id;
 
-/// The workers that the store lists, each by its latest incarnation.
+/// The workers that the store lists, each with the entry of its latest incarnation.
 #[derive(Debug, Default)]
 pub(super) struct Members(collections::BTreeMap<id::WorkerId, order::Member>);
 
 impl Members {
-    /// Takes in the whole list.
+    /// Replaces all entries by a whole list, but keeps those of later incarnations.
     pub fn list(&mut self, list: &[order::Member]) {
         let before = std::mem::take(&mut self.0);
         for member in list {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Takes in the entry of one worker.
+    /// Sets or removes the entry of one worker; an entry of an earlier incarnation has no effect.
     pub fn set(&mut self, worker: &id::WorkerId, member: Option<order::Member>) {
         match member {
             Some(member) => {
@@ -33,27 +33,31 @@
         }
     }
 
-    /// Returns what the store lists of a worker.
+    /// Returns the entry of a worker, if it is listed.
     pub fn get(&self, worker: &id::WorkerId) -> Option<&order::Member> {
         self.0.get(worker)
     }
 
-    /// Returns all workers that are listed.
+    /// Returns the entries of all listed workers.
     pub fn all(&self) -> impl Iterator<Item = &order::Member> {
         self.0.values()
     }
 
-    /// Returns how many workers are listed.
+    /// Returns the number of listed workers.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 }
 
-/// Returns the entry of the later incarnation. One that the incarnation before wrote may come late, and replaces nothing.
+/// Returns the entry of the later incarnation: one written by an earlier incarnation may arrive
+/// late and must not replace it.
 fn latest<'a>(known: Option<&'a order::Member>, entry: &'a order::Member) -> &'a order::Member {
     match known {
         Some(known) if entry.incarnation.is_before(&known.incarnation) => {
-            tracing::info!(worker = %entry.incarnation, latest = %known.incarnation, "entry of a life that is over passed over");
+            tracing::info!(
+                worker = %entry.incarnation, latest = %known.incarnation,
+                "list entry of an earlier incarnation ignored"
+            );
             known
         }
         _ => entry,
@@ -61,7 +65,7 @@
 }
 
 impl holding::Holding {
-    /// Takes in the whole list of workers.
+    /// Applies the whole list of workers to the views.
     pub(super) fn set_members(&mut self, members: &Members, now: time::Duration) {
         let known = self.views.keys().map(|incarnation| &incarnation.worker);
         let gone = known.filter(|worker| members.get(worker).is_none());
@@ -74,7 +78,8 @@
         }
     }
 
-    /// Notes that the store does not list a worker any more.
+    /// Marks a worker that the store no longer lists, and counts its loss if its leases have
+    /// expired.
     pub(super) fn unlist(&mut self, worker: &id::WorkerId) {
         self.changed = true;
         let listed = self
@@ -85,23 +90,26 @@
             listed.map(|(incarnation, _)| incarnation.clone()).collect();
         for incarnation in listed {
             if let Some(view) = self.views.get_mut(&incarnation) {
-                tracing::info!(worker = %incarnation, tasks = view.tasks.len(), "worker not listed any more");
+                tracing::info!(worker = %incarnation, tasks = view.tasks.len(), "worker no longer listed");
                 view.listed = false;
             }
-            self.note_lapsed_loss(&incarnation);
+            self.count_lapsed_loss(&incarnation);
         }
     }
 
-    /// Takes in what the store lists of one worker.
+    /// Applies the list entry of one worker to its view, or begins one.
     pub(super) fn set_member(&mut self, member: order::Member, now: time::Duration) {
         self.changed = true;
         let Some(view) = self.views.get_mut(&member.incarnation) else {
             let next = self.views.range(member.incarnation.clone()..).next();
             if next.is_some_and(|(known, _)| member.incarnation.is_before(known)) {
-                return tracing::info!(worker = %member.incarnation, "entry of a life that is over passed over");
+                return tracing::info!(
+                    worker = %member.incarnation, "list entry of an earlier incarnation ignored"
+                );
             }
             tracing::debug!(
-                worker = %member.incarnation, addr = %member.addr, labels = ?member.labels, "worker listed first"
+                worker = %member.incarnation, addr = %member.addr, labels = ?member.labels,
+                "worker listed for the first time"
             );
             return self.begin_incarnation(member, true, now);
         };
@@ -113,11 +121,12 @@
         view.listed = true;
     }
 
-    /// Returns whether a task is to be taken off a worker that is about to leave.
+    /// Returns whether a task is evicted from a leaving worker.
     ///
-    /// A task that lasts, or saves its progress and is not nearly done, loses less by going now.
-    pub(super) fn leaves(&self, task: spec::TaskId, percent: u64) -> bool {
-        /// From here on a task is left to its end, in percent of its work.
+    /// A long-running task, or one with checkpoints that is not nearly done, loses less by moving
+    /// at once.
+    pub(super) fn should_evict(&self, task: spec::TaskId, percent: u64) -> bool {
+        /// The completed part, in percent, from which a task is left to finish.
         const NEARLY_DONE: u64 = 80;
         let entry = self.jobs.get(&task.job);
         let step = entry.and_then(|entry| entry.job.step(task.step));
--- a/crates/wharflane/src/job/orders.rs
+++ b/crates/wharflane/src/job/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to workers: starts and stops, given again until they are known.
+//! Sends orders to start and stop tasks to workers, and repeats them until their outcome is known.
 
 use std::time;
 
@@ -9,24 +9,25 @@
 use super::work;
 use super::worker;
 
-/// The wait before an order without an answer is given again.
-const ORDER_AGAIN: time::Duration = time::Duration::from_millis(400);
-/// The orders without an answer after which a task goes to another worker; three take 3 s, and one that was
-/// only late or lost is known by then.
-const MOST_UNANSWERED: u32 = 3;
-/// The wait before a stop that was not taken is given again. With 0.6 s until a call counts as unanswered, four in a
-/// row may be lost within the 3 s that a cancel may take.
-const STOP_AGAIN: time::Duration = time::Duration::from_millis(100);
-/// What is added to the time of a stop before it is given again: the trips, and one look.
+/// The delay before an order without an answer is sent again.
+const START_RETRY_DELAY: time::Duration = time::Duration::from_millis(400);
+/// The number of unanswered orders after which a start is abandoned and its task moves to another
+/// worker; three take 3 s, by which time the outcome of one that was only late or lost is known.
+const MAX_UNANSWERED: u32 = 3;
+/// The delay before a failed stop is sent again. A call counts as unanswered after 0.6 s, so four
+/// in a row may be lost within the 3 s that a cancellation may take.
+const STOP_RETRY_DELAY: time::Duration = time::Duration::from_millis(100);
+/// The slack beyond the longest time of a stop before it is sent again, for round trips and one
+/// heartbeat.
 const STOP_SLACK: time::Duration = time::Duration::from_millis(300);
-/// How long a worker that refuses for want of room, or is not well, gets nothing new.
-const REFUSED_REST: time::Duration = time::Duration::from_millis(400);
+/// How long a worker that lacks room or reports itself unhealthy gets nothing new.
+const REFUSED_BACKOFF: time::Duration = time::Duration::from_millis(400);
 
 impl holding::Holding {
-    /// Sends the starts whose commit stands.
-    pub(super) fn release(&mut self, starts: &[spec::TaskId], now: time::Duration) {
+    /// Sends the starts that are now committed.
+    pub(super) fn send_committed_starts(&mut self, starts: &[spec::TaskId], now: time::Duration) {
         for task in self.release_barred(starts) {
-            let wanted = self.should_run(task);
+            let should_run = self.should_run(task);
             let staged = self
                 .placed
                 .get(&task)
@@ -34,12 +35,12 @@
             if !staged {
                 continue;
             }
-            if wanted && !self.has_room(task) {
-                self.free(task, "its worker's room shrank before its start was ordered");
-            } else if wanted && self.may_order(now) && !self.leaving {
+            if should_run && !self.has_room(task) {
+                self.free(task, "worker capacity shrank before the start was ordered");
+            } else if should_run && self.may_order(now) && !self.leaving {
                 self.send_start(task, now);
-            } else if wanted {
-                // Not ordered, so it may be ordered later by whoever holds the domain then.
+            } else if should_run {
+                // Never sent by this host, so whoever holds the domain may send it later.
                 self.set_start_state(task, work::StartState::Unanswered(now));
             } else {
                 self.free(task, "ended before its start was ordered");
@@ -47,21 +48,21 @@
         }
     }
 
-    /// Returns whether the worker of a task still has room for all that is set aside there. A gang's members start
-    /// together or not at all, so that they are left to the worker's own guard.
+    /// Returns whether the worker of a task still has room for everything reserved there. Members
+    /// of a gang start together or not at all, so for them this check is left to the worker.
     fn has_room(&self, task: spec::TaskId) -> bool {
         let placed = self.placed.get(&task);
         let view = placed.and_then(|placed| self.views.get(&placed.worker));
         self.is_in_gang(task) || view.is_none_or(worker::View::fits)
     }
 
-    /// Returns whether a task works only together with the others of its step.
+    /// Returns whether a task belongs to a step whose tasks run only all together.
     pub(super) fn is_in_gang(&self, task: spec::TaskId) -> bool {
         let entry = self.jobs.get(&task.job);
         entry.and_then(|entry| entry.job.step(task.step)).is_some_and(|step| step.gang)
     }
 
-    /// Orders the start of a placed task.
+    /// Sends the order to start a placed task.
     fn send_start(&mut self, task: spec::TaskId, now: time::Duration) {
         let Some(placed) = self.placed.get(&task) else {
             return;
@@ -74,11 +75,11 @@
             return;
         };
         let Some(lease_until_ms) = view.grant(now, self.settings.task_lease) else {
-            placed.start_state = work::StartState::Unanswered(now + ORDER_AGAIN);
+            placed.start_state = work::StartState::Unanswered(now + START_RETRY_DELAY);
             return;
         };
         self.link.sent();
-        // A worker that was idle would be looked at much later.
+        // An idle worker would get its next heartbeat much later.
         view.heartbeat_due = view.heartbeat_due.min(now + self.link.gap());
         placed.start_state = work::StartState::Ordered;
         placed.lease_until_ms = placed.lease_until_ms.max(lease_until_ms);
@@ -89,9 +90,9 @@
         let state = entry.progress.tasks.get(&task.into());
         let checkpoint = state.map_or_else(String::new, |state| state.checkpoint.clone());
         let order = work::order_for(placed, view.member.addr, task, fence);
-        // A ticket that ran out on the way to here is asked for anew, maybe for another worker.
+        // A ticket that expired meanwhile is requested again, possibly for another worker.
         let Some(ticket) = self.ticket_for(&order, now) else {
-            return self.start_refused(task);
+            return self.handle_refused_start(task);
         };
         tracing::info!(
             %task, run = order.run, worker = %order.worker, epoch = order.epoch, lease_until_ms,
@@ -102,15 +103,16 @@
         self.out.push(event::Effect::Start(start));
     }
 
-    /// Orders a placed task to stop.
+    /// Stops a placed task, unless its start is still in flight.
     pub(super) fn stop(&mut self, task: spec::TaskId, now: time::Duration) {
         let Some(placed) = self.placed.get_mut(&task) else {
             return;
         };
         match placed.start_state {
             work::StartState::Staged if !self.staged.contains(&task) => {}
-            work::StartState::Staged => self.free(task, "ended before its start was written"),
-            // A stop that comes before its start has no effect: the start must be there first.
+            work::StartState::Staged => self.free(task, "ended before its start was committed"),
+            // A stop that arrives before its start has no effect, so it waits until the start is
+            // confirmed.
             work::StartState::Ordered
             | work::StartState::Unanswered(_)
             | work::StartState::Expiring => {}
@@ -122,13 +124,13 @@
         }
     }
 
-    /// Sends an order to stop, unless one was sent whose effect may still show.
+    /// Sends an order to stop, unless an earlier one may still take effect.
     fn order_stop(&mut self, task: spec::TaskId, now: time::Duration) {
         let Some(placed) = self.placed.get_mut(&task) else {
             return;
         };
-        let again = self.settings.stop + STOP_SLACK;
-        let due = placed.stopped.is_none_or(|at| now.saturating_sub(at) >= again);
+        let retry_after = self.settings.stop + STOP_SLACK;
+        let due = placed.stopped.is_none_or(|at| now.saturating_sub(at) >= retry_after);
         let Some(view) = self.views.get(&placed.worker).filter(|_| due) else {
             return;
         };
@@ -140,19 +142,21 @@
         self.out.push(event::Effect::Stop(order));
     }
 
-    /// Notes that an order to stop was not taken, so that it is given again soon.
-    pub(super) fn stop_not_taken(&mut self, order: &order::Order, now: time::Duration) {
-        let open = self.placed.get(&order.task).is_some_and(|placed| {
+    /// Handles an order to stop that failed by scheduling another.
+    pub(super) fn handle_failed_stop(&mut self, order: &order::Order, now: time::Duration) {
+        let current = self.placed.get(&order.task).is_some_and(|placed| {
             placed.run == order.run && placed.worker == order.worker && self.is_own(order.epoch)
         });
-        if open {
-            tracing::info!(task = %order.task, run = order.run, worker = %order.worker, "stop not taken");
-            self.stop_retries.insert(order.task, now + STOP_AGAIN);
+        if current {
+            tracing::info!(
+                task = %order.task, run = order.run, worker = %order.worker, "order to stop failed"
+            );
+            self.stop_retries.insert(order.task, now + STOP_RETRY_DELAY);
         }
     }
 
-    /// Orders everything to stop that runs on from jobs that ended under an earlier holder: its stops may have been
-    /// lost, and the looks that would show what runs there may be lost as well.
+    /// Stops all runs of jobs that ended under an earlier holder: its orders to stop may have been
+    /// lost, and so may the heartbeats that would show these runs.
     pub(super) fn stop_unwanted(&mut self, now: time::Duration) {
         let unwanted = self.placed.keys().copied().filter(|task| !self.should_run(*task));
         let unwanted: Vec<spec::TaskId> = unwanted.collect();
@@ -161,7 +165,7 @@
         }
     }
 
-    /// Gives stops again that were not taken, unless the run has ended.
+    /// Sends failed orders to stop again if they are due, unless the run has ended.
     pub(super) fn repeat_stops(&mut self, now: time::Duration) {
         let due = self.stop_retries.iter().filter(|(_, at)| now >= **at);
         let due: Vec<spec::TaskId> = due.map(|(task, _)| *task).collect();
@@ -171,12 +175,13 @@
                 continue;
             };
             placed.stopped = None;
-            // Also where looks have no answer: a stop may be carried out whose answer is lost like theirs.
+            // This is done even if heartbeats go unanswered: the order may arrive although its
+            // answer is lost like theirs.
             self.stop(task, now);
         }
     }
 
-    /// Gives orders again that had no answer.
+    /// Sends unanswered orders to start again if they are due.
     pub(super) fn repeat_orders(&mut self, now: time::Duration) {
         let due = self.placed.iter().filter(|(_, placed)| match placed.start_state {
             work::StartState::Unanswered(at) => now >= at,
@@ -185,41 +190,39 @@
         });
         let due: Vec<spec::TaskId> = due.map(|(task, _)| *task).collect();
         for task in due {
-            self.repeat_start(task, now);
+            self.retry_start(task, now);
         }
     }
 
-    /// Gives an order to start again, or sees to it that it can be given up.
-    fn repeat_start(&mut self, task: spec::TaskId, now: time::Duration) {
+    /// Sends an order to start again, or abandons the start after too many attempts.
+    fn retry_start(&mut self, task: spec::TaskId, now: time::Duration) {
         let Some(placed) = self.placed.get(&task) else {
             return;
         };
         let (worker, doubt) = (placed.worker.clone(), placed.doubt);
-        if self.gives_up(task) {
-            return self.settle(task, now);
+        if self.is_start_abandoned(task) {
+            return self.resolve_start(task, now);
         }
         let has_room = self.has_room(task);
         let Some(view) = self.views.get_mut(&worker) else {
             return;
         };
         let barred = view.is_barred();
-        if doubt.unanswered >= MOST_UNANSWERED || !has_room || barred {
-            tracing::warn!(
-                %task, %worker, doubt.unanswered, has_room, barred, "starts without an answer, given up"
-            );
+        if doubt.unanswered >= MAX_UNANSWERED || !has_room || barred {
+            tracing::warn!(%task, %worker, doubt.unanswered, has_room, barred, "start abandoned");
             if !barred {
                 view.quarantine(now);
             }
             self.set_start_state(task, work::StartState::Expiring);
-            return self.settle(task, now);
+            return self.resolve_start(task, now);
         }
-        if view.misses == 0 {
+        if view.missed_heartbeats == 0 {
             self.send_start(task, now);
         }
     }
 
-    /// Lets a look find out at once what became of a start that is to be given up.
-    fn settle(&mut self, task: spec::TaskId, now: time::Duration) {
+    /// Requests a heartbeat at once, which decides whether an abandoned start was carried out.
+    fn resolve_start(&mut self, task: spec::TaskId, now: time::Duration) {
         let Some(placed) = self.placed.get(&task) else {
             return;
         };
@@ -227,25 +230,25 @@
             return self.free(task, "its start was never ordered");
         }
         let worker = placed.worker.clone();
-        if let Some(view) = self.views.get_mut(&worker).filter(|view| view.misses == 0) {
+        if let Some(view) = self.views.get_mut(&worker).filter(|view| view.missed_heartbeats == 0) {
             view.heartbeat_due = view.heartbeat_due.min(now);
         }
         self.unsettled.insert(worker);
-        // The run may be there with its answer lost, and looks may be lost like it.
+        // The run may be there although its answer and those to heartbeats are lost.
         if !self.should_run(task) {
             self.order_stop(task, now);
         }
     }
 
-    /// Notes what is known of a start.
+    /// Sets the state of a task's start, if the task is placed.
     fn set_start_state(&mut self, task: spec::TaskId, start_state: work::StartState) {
         if let Some(placed) = self.placed.get_mut(&task) {
             placed.start_state = start_state;
         }
     }
 
-    /// Takes the answer to an order to start.
-    pub(super) fn started(
+    /// Handles the answer to an order to start.
+    pub(super) fn handle_start_answer(
         &mut self,
         order: &order::Order,
         answer: order::StartAnswer,
@@ -254,61 +257,66 @@
         if !self.is_own(order.epoch) {
             return;
         }
-        let open = self.placed.get(&order.task).is_some_and(|placed| {
+        let current = self.placed.get(&order.task).is_some_and(|placed| {
             placed.run == order.run
                 && placed.worker == order.worker
                 && placed.start_state == work::StartState::Ordered
         });
-        if !open {
+        if !current {
             return;
         }
         if answer != order::StartAnswer::Taken {
             tracing::info!(
                 task = %order.task, run = order.run, worker = %order.worker, ?answer,
-                "start not taken"
+                "start refused or unanswered"
             );
         }
-        let wanted = self.should_run(order.task);
+        let should_run = self.should_run(order.task);
         match answer {
             order::StartAnswer::Taken | order::StartAnswer::Refused(order::StartRefusal::Old) => {
-                // An old run is one that ended there: the next look tells how, or that it is gone.
+                // An old run has already ended there; the next heartbeat answer reports its end or
+                // its absence.
                 self.set_start_state(order.task, work::StartState::Confirmed(now));
                 self.note_begun(order.task.job);
                 if let Some(placed) = self.placed.get_mut(&order.task) {
                     placed.began = placed.began.or(Some(now));
                 }
                 self.send_shares(&order.worker, now);
-                if !wanted {
+                if !should_run {
                     self.stop(order.task, now);
                 }
             }
             order::StartAnswer::Refused(order::StartRefusal::Fenced)
                 if order.epoch < self.fence(&order.worker) =>
             {
-                // The fence was raised while the order was on its way.
+                // The fence was raised while the order was in flight.
                 self.set_start_state(order.task, work::StartState::Unanswered(now));
             }
             order::StartAnswer::Refused(order::StartRefusal::Fenced) => self.fenced = true,
             order::StartAnswer::Refused(order::StartRefusal::Ticket) => {
                 self.tickets.refused(order.task, &order.worker);
-                self.start_refused(order.task);
+                self.handle_refused_start(order.task);
             }
             order::StartAnswer::Refused(_) | order::StartAnswer::Unwell => {
                 if let Some(view) = self.views.get_mut(&order.worker) {
-                    view.rests_until = view.rests_until.max(now + REFUSED_REST);
+                    view.backoff_until = view.backoff_until.max(now + REFUSED_BACKOFF);
                 }
-                self.start_refused(order.task);
+                self.handle_refused_start(order.task);
             }
             order::StartAnswer::Gone => {
                 let unanswered = self.placed.get(&order.task).map_or(0, |p| p.doubt.unanswered);
                 if unanswered == 0 {
-                    // The incarnation that was meant never had the order, so its end is not this task's doing.
-                    self.free(order.task, "its worker is another by now");
+                    // The addressed incarnation never received the order, so the task didn't cause
+                    // its end.
+                    self.free(order.task, "worker replaced before the order arrived");
                 }
-                self.worker_gone(&order.worker);
+                self.remove_worker(&order.worker);
             }
             order::StartAnswer::Silent => {
-                self.set_start_state(order.task, work::StartState::Unanswered(now + ORDER_AGAIN));
+                self.set_start_state(
+                    order.task,
+                    work::StartState::Unanswered(now + START_RETRY_DELAY),
+                );
                 if let Some(placed) = self.placed.get_mut(&order.task) {
                     placed.doubt.unanswered += 1;
                 }
@@ -317,10 +325,12 @@
     }
 
     /// Frees a task whose start was refused, unless an earlier order may still be carried out.
-    fn start_refused(&mut self, task: spec::TaskId) {
+    fn handle_refused_start(&mut self, task: spec::TaskId) {
         let unanswered = self.placed.get(&task).is_some_and(|p| p.doubt.unanswered > 0);
         if unanswered {
-            tracing::info!(%task, "refused after an order without answer, which may still come");
+            tracing::info!(
+                %task, "start refused, but an earlier unanswered order may still be carried out"
+            );
             self.set_start_state(task, work::StartState::Expiring);
         } else {
             self.free(task, "refused");
--- a/crates/wharflane/src/job/refused.rs
+++ b/crates/wharflane/src/job/refused.rs
@@ -1,25 +1,26 @@
-//! What follows when the store refuses a commit for good: the domain goes on without what is at fault.
+//! Handles commits that the store refuses for good, so that one bad row doesn't stop the whole
+//! domain.
 //!
-//! The same commit is never sent again. What may be left out is left out first; then the commit is halved
-//! until the job at fault is alone, and that job is set aside: nothing new of it starts, its ends stay
-//! unacknowledged at their workers, and its progress is tried again from time to time.
+//! The same commit is never sent again. Optional rows are left out first; then the commit is halved
+//! until the job at fault is alone, and that job is set aside: none of its tasks start, its ends
+//! stay unacknowledged at their workers, and its progress is tried again from time to time.
 
 use std::time;
 
 use super::holding;
 use super::pending;
-use super::rows as kept;
+use super::rows as job_rows;
 use super::spec;
 use super::worker;
 use crate::rows;
 
-/// How long what may be left out is left out after a refusal.
-const EXTRAS_AGAIN: time::Duration = time::Duration::from_secs(30);
-/// How long a job is set aside before its progress is tried again; it may have become shorter.
-const JOB_AGAIN: time::Duration = time::Duration::from_secs(10);
+/// How long optional rows are left out after a refusal.
+const EXTRAS_RETRY: time::Duration = time::Duration::from_secs(30);
+/// How long a job is set aside before its progress is tried again, as it may have become shorter.
+const JOB_RETRY: time::Duration = time::Duration::from_secs(10);
 
 impl holding::Holding {
-    /// Takes back a commit that the store refuses for good, and sees to it that the next one differs.
+    /// Takes back a commit that the store refused for good, and makes the next one differ from it.
     pub(super) fn commit_refused(&mut self, pending: pending::Pending, now: time::Duration) {
         let longest = pending.txn.writes.iter().max_by_key(|write| length(write));
         let longest_bytes = longest.map_or(0, length);
@@ -37,13 +38,14 @@
             _ => None,
         };
         if pending.extras {
-            self.commit_limits.extras_from = now + EXTRAS_AGAIN;
+            self.commit_limits.extras_from = now + EXTRAS_RETRY;
         } else if pending.jobs.is_empty() {
-            self.commit_limits.counts_from = now + EXTRAS_AGAIN;
+            self.commit_limits.counts_from = now + EXTRAS_RETRY;
         } else {
             self.commit_limits.jobs = (pending.jobs.len() / 2).max(1);
         }
-        // Callers are told no old counts, so those of a commit that was refused for something else go with the next one.
+        // Counts are only useful while fresh, so those of the refused commit are due again with the
+        // next one.
         self.counted_at = time::Duration::ZERO;
         self.put_back(pending);
         if let Some(job) = alone {
@@ -51,10 +53,10 @@
         }
     }
 
-    /// Makes everything that a commit held due for the next one.
+    /// Makes all changes of a commit due again for the next one.
     fn put_back(&mut self, pending: pending::Pending) {
         for write in &pending.txn.writes {
-            if let Some((job, row)) = kept::progress_row(&write.key.name)
+            if let Some((job, row)) = job_rows::progress_row(&write.key.name)
                 && let Some(entry) = self.jobs.get_mut(&job)
             {
                 entry.dirty.insert(row);
@@ -75,7 +77,7 @@
 
     /// Sets a job aside whose progress the store refuses.
     fn set_aside(&mut self, job: spec::JobId, now: time::Duration) {
-        tracing::error!(%job, "progress of a job can't be kept, the job is set aside");
+        tracing::error!(%job, "the store refuses the progress of a job; the job is set aside");
         if let Some(entry) = self.jobs.get_mut(&job) {
             entry.set_aside = Some(now);
         }
@@ -84,18 +86,18 @@
         let staged: Vec<spec::TaskId> =
             self.staged.iter().copied().filter(|task| task.job == job).collect();
         for task in staged {
-            self.free(task, "its start can't be kept");
+            self.free(task, "its start can't be stored");
         }
     }
 
-    /// Takes up jobs again that were set aside some time ago.
+    /// Resumes jobs that were set aside for `JOB_RETRY`.
     pub(super) fn take_up_again(&mut self, now: time::Duration) {
         let old = self.jobs.iter_mut().filter(|(_, entry)| {
-            entry.set_aside.is_some_and(|since| now.saturating_sub(since) >= JOB_AGAIN)
+            entry.set_aside.is_some_and(|since| now.saturating_sub(since) >= JOB_RETRY)
         });
         for (job, entry) in old {
             let aside_ms = entry.set_aside.map_or(0, |since| worker::millis(now - since));
-            tracing::info!(%job, aside_ms, "a job that was set aside is taken up again");
+            tracing::info!(%job, aside_ms, "job resumed after it was set aside");
             entry.set_aside = None;
             if !entry.dirty.is_empty() {
                 self.dirty.push_back(*job);
@@ -104,13 +106,13 @@
         }
     }
 
-    /// Returns whether a job is set aside, so that nothing new of it may start.
+    /// Returns whether a job is set aside, so that none of its tasks may start.
     pub(super) fn is_aside(&self, job: spec::JobId) -> bool {
         self.jobs.get(&job).is_some_and(|entry| entry.set_aside.is_some())
     }
 }
 
-/// Returns the length of what a write puts into its row.
+/// Returns the length of the value that a write stores.
 fn length(write: &rows::Write) -> usize {
     write.value.as_ref().map_or(0, String::len)
 }
--- a/crates/wharflane/src/job/unlisted.rs
+++ b/crates/wharflane/src/job/unlisted.rs
@@ -1,65 +1,69 @@
-//! Workers that may run something and are not listed, or soon won't be, as a holder leaves them to the next.
+//! Stores the addresses of busy workers that are unlisted, or soon will be, for the next holder.
 //!
-//! A worker's entry may go from the store's list seconds before its tasks do. The holder that started them
-//! knows the worker's address; without it the next one can neither renew them nor stop what is cancelled.
-//! Weighed: the address beside each task in its row of progress, which takes no row of its own and a third
-//! more bytes in every write of a task that runs; shorter leases, which end sound work at each change of the
-//! holder. This row is written only where its workers change.
+//! A worker's entry may vanish from the store's list seconds before its tasks end. Only the holder
+//! that started them knows its address; without it the next holder can neither renew their leases
+//! nor stop cancelled tasks. The row is written only when its workers change. Alternatives
+//! considered: storing the address with each task's progress, which needs no row of its own but
+//! adds a third to the bytes of every write of a running task; and shorter leases, which would end
+//! sound work at each change of the holder.
 
 use std::time;
 
 use super::holding;
 use super::learned;
-use super::rows as kept;
+use super::rows as job_rows;
 use crate::rows;
 
-/// The most workers in the row; with names of 200 bytes, the longest of the store, it takes 18 KB.
-const MOST: usize = 64;
+/// The most workers in the row; with names of 200 bytes, the store's limit, they take 18 KB.
+const MAX_UNLISTED: usize = 64;
 
 impl holding::Holding {
-    /// Returns the workers that the next holder may not find in the list, though something runs there.
-    fn soon_unlisted(&self) -> Vec<kept::Unlisted> {
+    /// Returns the busy workers that the next holder may not find in the list.
+    fn soon_unlisted(&self) -> Vec<job_rows::Unlisted> {
         let busy = self.views.values().filter(|view| !view.tasks.is_empty());
         let soon = busy.filter(|view| !view.listed || view.member.leaving);
-        soon.map(|view| kept::Unlisted::of(&view.member)).take(MOST).collect()
+        soon.map(|view| job_rows::Unlisted::of(&view.member)).take(MAX_UNLISTED).collect()
     }
 
-    /// Returns whether the row lacks a worker and may be written.
+    /// Returns whether the row lacks a worker and may be written now.
     pub(super) fn lacks_unlisted(&self, now: time::Duration) -> bool {
         now >= self.commit_limits.extras_from
             && self.soon_unlisted().iter().any(|unlisted| !self.unlisted.contains(unlisted))
     }
 
-    /// Adds the row to a transaction, where it has changed.
+    /// Adds the row to a transaction if it has changed.
     pub(super) fn add_unlisted(&mut self, txn: &mut rows::Txn) -> Result<(), serde_json::Error> {
         let unlisted = self.soon_unlisted();
         if unlisted == self.unlisted {
             return Ok(());
         }
-        let key = kept::learned_key(self.settings.domain, learned::UNLISTED.to_owned());
+        let key = job_rows::learned_key(self.settings.domain, learned::UNLISTED.to_owned());
         let value = Some(serde_json::to_string(&unlisted)?);
         txn.writes.push(rows::Write { key, value });
         self.unlisted = unlisted;
         Ok(())
     }
 
-    /// Takes over the workers of the row that nobody lists.
+    /// Restores workers from the row that are not listed.
     pub(super) fn restore_unlisted(&mut self, learned: &[rows::Row], now: time::Duration) {
         let row = learned.iter().find(|row| row.name == learned::UNLISTED);
         let Some(text) = row.and_then(|row| row.value.as_deref()) else {
             return;
         };
-        match serde_json::from_str::<Vec<kept::Unlisted>>(text) {
+        match serde_json::from_str::<Vec<job_rows::Unlisted>>(text) {
             Ok(unlisted) => self.unlisted = unlisted,
             Err(err) => {
-                return tracing::warn!(%err, "workers that are not listed can't be read");
+                return tracing::warn!(%err, "row of unlisted workers can't be decoded");
             }
         }
         for unlisted in self.unlisted.clone() {
             if self.views.keys().any(|known| known.worker == unlisted.incarnation.worker) {
                 continue;
             }
-            tracing::info!(worker = %unlisted.incarnation, addr = %unlisted.addr, "worker known from before");
+            tracing::info!(
+                worker = %unlisted.incarnation, addr = %unlisted.addr,
+                "unlisted worker restored from the previous holder"
+            );
             self.begin_incarnation(unlisted.member(), false, now);
         }
     }
--- a/crates/wharflane/src/job/work.rs
+++ b/crates/wharflane/src/job/work.rs
@@ -1,4 +1,4 @@
-//! What a holder keeps of jobs and of their tasks that wait or have a worker.
+//! The holder's records of jobs, of tasks that wait for a worker, and of tasks placed on one.
 
 use std::collections;
 use std::net;
@@ -10,78 +10,79 @@
 use super::spec;
 use crate::id;
 
-/// A job and how far it has come.
+/// A job with its progress.
 #[derive(Debug)]
 pub(super) struct Entry {
-    /// What was handed in.
+    /// The job as it was submitted.
     pub job: sync::Arc<spec::Job>,
-    /// The version of its row when it was accepted; earlier jobs have lower ones.
+    /// The version of the job's row at its acceptance; lower for earlier jobs.
     pub accepted_version: u64,
-    /// The version of its row as it was read last.
+    /// The version of the job's row when it was last read.
     pub version: u64,
     /// When it was accepted, in milliseconds since 1970.
     pub accepted_ms: u64,
     /// Whether its caller has cancelled it.
     pub cancelled: bool,
-    /// How far it has come, ahead of the store by what is not committed yet.
+    /// Its progress, including changes that are not committed yet.
     pub progress: progress::Progress,
-    /// The rows of its progress that are to be written.
+    /// The rows of its progress with uncommitted changes.
     pub dirty: collections::BTreeSet<u32>,
     /// Since when it is set aside because the store refuses its progress for good.
     pub set_aside: Option<time::Duration>,
-    /// Whether any of its tasks has begun, as far as this holder knows. Not kept: a start that was written
-    /// may never have reached its worker, and only workers tell.
+    /// Whether any of its tasks has begun, as far as this holder knows. Not stored: a committed
+    /// start may never have reached its worker, and only workers report what began.
     pub begun: bool,
-    /// Since when it has ended.
+    /// When this holder first saw that it has ended.
     pub ended: Option<time::Duration>,
-    /// How long tasks took that this holder saw at work, by step.
-    pub taken: collections::BTreeMap<u32, Taken>,
+    /// The measured run times of its tasks, by step.
+    pub taken: collections::BTreeMap<u32, RunTimes>,
 }
 
-/// How long the tasks of a step took.
+/// The measured run times of a step's tasks.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Taken {
-    /// The runs that worked at full speed from their beginning to their end.
+pub(super) struct RunTimes {
+    /// The number of runs at full speed from start to end.
     pub runs: u32,
-    /// The time of all of them.
+    /// The sum of the durations of these runs.
     pub total: time::Duration,
 }
 
 impl Entry {
-    /// Returns whether none of its tasks has begun; one that was only given a worker has not.
+    /// Returns whether none of its tasks has begun; a task that only has a worker has not.
     pub fn waits(&self) -> bool {
         self.active() && !self.begun
     }
 
-    /// Returns whether its tasks are to run.
+    /// Returns whether its tasks should run.
     pub fn active(&self) -> bool {
         !self.cancelled && !self.progress.phase.ended()
     }
 }
 
-/// What is known of a task that has a worker.
+/// A task that is placed on a worker.
 #[derive(Clone, Debug)]
 pub(super) struct Placed {
-    /// The worker.
+    /// The worker incarnation that it is placed on.
     pub worker: id::Incarnation,
-    /// The number of the start.
+    /// The number of its run.
     pub run: u32,
-    /// What is known of the start.
+    /// What is known of the start of the run.
     pub start_state: StartState,
-    /// Until when an order for it may still be carried out, by the worker's clock.
+    /// Until when an order for it may still be carried out, by the worker's clock, in milliseconds.
     pub lease_until_ms: u64,
-    /// What is in doubt about its start.
+    /// The unanswered orders of the start.
     pub doubt: Doubt,
-    /// When the worker took the start; nothing where another holder ordered it.
+    /// When the worker confirmed the start; absent if another holder ordered it.
     pub began: Option<time::Duration>,
     /// When a stop was last ordered.
     pub stopped: Option<time::Duration>,
-    /// How far it was, in percent, and since when.
+    /// Its reported progress in percent, and since when it is unchanged.
     pub progress: (u64, time::Duration),
 }
 
 impl Placed {
-    /// Returns what is known of a task on an incarnation that may have been given an order for an incarnation before it.
+    /// Returns the record of a task on an incarnation that may have received an order for an
+    /// earlier one.
     pub fn orphaned(incarnation: id::Incarnation, before: &Self, now: time::Duration) -> Self {
         Self {
             worker: incarnation,
@@ -96,53 +97,54 @@
     }
 }
 
-/// What is in doubt about the start of a task.
+/// The uncertainty about the start of a task.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Doubt {
-    /// The orders that had no answer.
+    /// The number of orders that had no answer.
     pub unanswered: u32,
-    /// The highest fence that an order brought; zero where none was given by this holder.
+    /// The highest fence that an order carried; zero if this holder sent none.
     pub fence: u64,
 }
 
-/// What is known of a start.
+/// What the holder knows of the start of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StartState {
     /// It is not committed yet.
     Staged,
-    /// The order is under way.
+    /// The order is in flight.
     Ordered,
-    /// The order had no answer and is given again at a time.
+    /// The order had no answer and is sent again at this time.
     Unanswered(time::Duration),
-    /// One order had no answer and a later one was refused: the first may still be carried out, so the
-    /// task waits until the lease that it brings is over.
+    /// The start is being abandoned: an order without an answer may still be carried out, so the
+    /// task waits until a heartbeat rules that out or the lease in the order expires.
     Expiring,
-    /// The worker has it, as it said at a time.
+    /// The worker confirmed the run; the time is that of its first confirmation.
     Confirmed(time::Duration),
-    /// An earlier holder ordered it.
+    /// An earlier holder ordered it, and the worker has not answered this one yet.
     Inherited,
-    /// It was ordered from an incarnation of the worker that is over, and the order may have reached this one.
+    /// It was ordered from an earlier incarnation of the worker, and this one may have received the
+    /// order.
     Orphaned,
 }
 
-/// A task whose turn has come.
+/// A task that is ready to be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Ready {
-    /// The task.
+    /// The task to place.
     pub task: spec::TaskId,
-    /// The priority paid for.
+    /// The priority of the job's queue; a lower number goes first.
     pub priority: u32,
-    /// Whether it runs until its job is cancelled.
+    /// Whether it is long-running: it runs until its job is cancelled.
     pub lasting: bool,
-    /// Whether it was at work before.
+    /// Whether it has run before.
     pub has_run: bool,
-    /// Earlier jobs have lower ones.
+    /// The version of the job's row at its acceptance; lower for earlier jobs.
     pub accepted_version: u64,
-    /// Since when it waits.
+    /// Since when it is ready.
     pub since: time::Duration,
 }
 
-/// Makes the order for a placed task.
+/// Returns the order that addresses a placed task.
 pub(super) fn order_for(
     placed: &Placed,
     addr: net::SocketAddr,
--- a/crates/wharflane/src/job/worker.rs
+++ b/crates/wharflane/src/job/worker.rs
@@ -1,4 +1,5 @@
-//! What a holder knows of one worker.
+//! The holder's view of one worker incarnation: leases, reserved capacity, and the reasons for
+//! which it gets no new tasks.
 
 use std::collections;
 use std::time;
@@ -9,70 +10,71 @@
 use super::spec;
 use crate::size;
 
-/// A worker's clock may run this much slow, in thousandths; the platform promises 2 %.
+/// How much slower than real time a worker's clock may run, in thousandths; the platform guarantees
+/// 2 %.
 const SLOW_CLOCK_MILLI: u32 = 20;
-/// Failures in a row after which a worker gets nothing new for a while.
-const FAILURES_BEFORE_REST: u32 = 2;
-/// A tail above this part of its target counts as a miss, in percent; figures are rough.
+/// The number of consecutive failed runs after which a worker is quarantined.
+const FAILURES_BEFORE_QUARANTINE: u32 = 2;
+/// A tail latency above this percentage of its target counts as a miss; the figures are rough.
 const MISSED_PERCENT: u64 = 100;
-/// How long a target must be kept until a time of misses is over.
-const KEPT: time::Duration = time::Duration::from_millis(700);
-/// How long such a worker rests: troubles of this kind last some 4 to 8 s.
-const REST: time::Duration = time::Duration::from_secs(4);
+/// How long a target must be met until a period of misses is over.
+const RECOVERED_AFTER: time::Duration = time::Duration::from_millis(700);
+/// The duration of a quarantine; such disturbances last about 4 to 8 s.
+const QUARANTINE_TIME: time::Duration = time::Duration::from_secs(4);
 
-/// The least time between two looks at a worker where something runs.
-pub(super) const LOOK_GAP: time::Duration = time::Duration::from_millis(50);
+/// The minimum time between two heartbeats to a worker that runs something.
+pub(super) const HEARTBEAT_GAP: time::Duration = time::Duration::from_millis(50);
 
-/// A task that serves, as its worker's neighbours are weighed against it.
+/// A service task, with the latency target that its neighbours on the worker must not break.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Serving {
-    /// What it runs.
+    /// The image that it runs.
     pub image: interference::Image,
-    /// The tail to keep.
+    /// The target for its tail latency, in milliseconds.
     pub target_ms: u64,
 }
 
-/// A task that fills a worker.
+/// A best-effort task on a worker, with its throttling.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Filling {
-    /// What it runs.
+    /// The image that it runs.
     pub image: interference::Image,
-    /// The processors that it asks for.
+    /// The CPU that it requests, in thousandths of a core.
     pub cpu_milli: u64,
-    /// The share at which it works.
+    /// The share of full speed at which it runs, in percent.
     pub percent: u8,
-    /// Whether it was ever held back.
+    /// Whether it was ever throttled.
     pub paced: bool,
-    /// Whether it was started in need and never worked at full speed.
+    /// Whether it was started throttled to prevent starvation and has not reached full speed since.
     pub started_throttled: bool,
-    /// Whether the share is to be ordered as soon as the task is there.
+    /// Whether the share must be sent to the worker once the run is confirmed there.
     pub share_unsent: bool,
-    /// Since when it is held back so far that it had better move.
+    /// Since when it is throttled so far that moving it would be better.
     pub low_since: Option<time::Duration>,
 }
 
-/// The strain of a serving task when it was last told.
+/// The strain of a service task as last reported.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Strain {
-    /// When.
+    /// When it was reported.
     pub at: time::Duration,
-    /// The strain.
+    /// The interference that its tail latency shows, as the interference model defines strain.
     pub strain: f64,
-    /// Since when the target is missed, and when it was last.
+    /// The period of misses, if the target is being missed.
     pub missed: Option<Missed>,
 }
 
-/// A time in which a target was missed, with pauses too short to count.
+/// A period of missed targets, including recoveries too short to end it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Missed {
     /// When it began.
     pub since: time::Duration,
-    /// When it was last seen.
+    /// When the latest miss was reported.
     pub last: time::Duration,
 }
 
 impl Missed {
-    /// Goes on with a time of misses after one more tail; nothing once the target is kept for long.
+    /// Extends or ends a period of misses with one more tail latency.
     pub fn next(
         before: Option<Self>,
         tail_ms: u64,
@@ -83,93 +85,97 @@
             let since = before.map_or(now, |missed| missed.since);
             return Some(Self { since, last: now });
         }
-        before.filter(|missed| now.saturating_sub(missed.last) < KEPT)
+        before.filter(|missed| now.saturating_sub(missed.last) < RECOVERED_AFTER)
     }
 }
 
-/// What the serving tasks of a worker bear of one more neighbour.
+/// How much interference from one more neighbour the service tasks of a worker tolerate.
 #[derive(Clone, Debug)]
 pub(super) struct Headroom {
-    /// When it was found out.
+    /// When it was computed.
     pub at: time::Duration,
-    /// Whether one of them misses its target.
+    /// Whether one of the service tasks misses its target.
     pub missed: bool,
-    /// The strain that each has left.
+    /// The remaining tolerance of each service task, with its image.
     pub left: Vec<(interference::Image, f64)>,
 }
 
-/// What may run on a worker by orders and leases from before this holder knew it.
+/// Leases and orders from before this holder knew the worker.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Inherited {
-    /// The longest lease that it may grant.
+    /// The longest lease that may have been granted.
     pub lease: time::Duration,
-    /// When all of that is over at the latest, by this holder's clock.
+    /// When all of these have expired at the latest, by this holder's clock.
     pub until: time::Duration,
 }
 
-/// An incarnation of a worker as its holder sees it.
+/// The holder's view of a worker incarnation.
 #[derive(Debug)]
 pub(super) struct View {
-    /// The worker as it was listed last.
+    /// The list entry of the worker as last read.
     pub member: order::Member,
-    /// When this holder first knew of it.
+    /// When this holder first learned of it.
     pub known_since: time::Duration,
     /// Whether the store lists it.
     pub listed: bool,
     /// Whether its hall is closed.
     pub closed: bool,
-    /// Whether it has answered a look of this epoch, so that no earlier holder's order counts.
+    /// Whether it has answered a heartbeat of this epoch, so that it rejects orders of earlier
+    /// holders.
     pub fenced: bool,
-    /// Its clock when it answered last, and when that answer came.
-    pub sample: Option<(u64, time::Duration)>,
-    /// Until when tasks may run there by this holder's word, by the worker's clock.
-    pub granted_ms: u64,
-    /// What may run there from before.
+    /// The worker's clock in its last answer, and when that answer arrived.
+    pub last_answer: Option<(u64, time::Duration)>,
+    /// Until when tasks may run there by this holder's grants, by the worker's clock, in
+    /// milliseconds.
+    pub granted_until_ms: u64,
+    /// Leases and orders from before this holder knew the worker.
     pub inherited: Inherited,
-    /// The ends that were taken in and whose result is not committed yet.
+    /// The handled ends whose result is not committed yet.
     pub unrecorded: collections::BTreeSet<u64>,
-    /// The last end that was taken in.
-    pub heard: u64,
-    /// The last end that its last answer told; zero where that told none.
-    pub told: u64,
-    /// When the look under way was sent.
+    /// The number of the last end that was handled.
+    pub last_end_handled: u64,
+    /// The number of the last end in its latest answer; zero if that listed none.
+    pub last_end_listed: u64,
+    /// When the heartbeat in flight was sent.
     pub heartbeat_sent: Option<time::Duration>,
-    /// When the next look is due.
+    /// When the next heartbeat is due.
     pub heartbeat_due: time::Duration,
-    /// Looks in a row without an answer.
-    pub misses: u32,
-    /// The room that is set aside.
+    /// The number of consecutive heartbeats without an answer.
+    pub missed_heartbeats: u32,
+    /// The capacity reserved for tasks.
     pub used: size::Size,
-    /// The room of runs there that are none of this holder's, as the last look told; they are being stopped.
-    pub strays: size::Size,
-    /// Processors wanted by tasks that fill, in thousandths of a core.
+    /// The capacity of runs that this holder didn't place, by the last answer; they are being
+    /// stopped.
+    pub unknown_capacity: size::Size,
+    /// The CPU requested by best-effort tasks, in thousandths of a core.
     pub filling_milli: u64,
-    /// The part of the room that is set aside for lasting tasks.
+    /// The part of the reserved capacity that long-running tasks take.
     pub lasting: size::Size,
     /// The tasks that may run there.
     pub tasks: collections::BTreeSet<spec::TaskId>,
-    /// Until when it gets nothing new, since it turned a start away.
-    pub rests_until: time::Duration,
-    /// Until when it gets nothing new but tasks in need, since runs failed or stood still there.
-    pub unsound_until: time::Duration,
-    /// Failed runs in a row.
+    /// Until when it gets no new tasks after it refused a start.
+    pub backoff_until: time::Duration,
+    /// The end of its quarantine after runs failed or stalled there; only starving tasks are placed
+    /// on it meanwhile.
+    pub quarantined_until: time::Duration,
+    /// The number of consecutive failed runs.
     pub failures: u32,
-    /// What was there when its leases lapsed, until it answers or is known to be gone.
+    /// The tasks that were there when its leases expired, until it answers or is known to be gone.
     pub lapsed: Vec<crash::Presence>,
-    /// The suspect that it is kept for alone, since it may have crashed its last worker.
-    pub alone: Option<spec::TaskId>,
-    /// The tasks that serve.
+    /// The suspect that the worker is reserved for, because it may have crashed its last worker.
+    pub reserved_for: Option<spec::TaskId>,
+    /// The service tasks there.
     pub serving: collections::BTreeMap<spec::TaskId, Serving>,
-    /// The tasks that fill.
+    /// The best-effort tasks there.
     pub filling: collections::BTreeMap<spec::TaskId, Filling>,
-    /// When a share was changed last.
+    /// When the share of a best-effort task last changed.
     pub paced: time::Duration,
-    /// What the tasks that serve bear of one more neighbour, as it was found out last.
+    /// How much interference its service tasks tolerate, as last computed.
     pub headroom: Option<Headroom>,
 }
 
 impl View {
-    /// Makes the view of a worker that was not looked at yet.
+    /// Creates the view of a worker before its first heartbeat.
     pub fn new(member: order::Member, inherited: Inherited, now: time::Duration) -> Self {
         Self {
             member,
@@ -177,25 +183,25 @@
             listed: true,
             closed: false,
             fenced: false,
-            sample: None,
-            granted_ms: 0,
+            last_answer: None,
+            granted_until_ms: 0,
             inherited,
             unrecorded: collections::BTreeSet::new(),
-            heard: 0,
-            told: 0,
+            last_end_handled: 0,
+            last_end_listed: 0,
             heartbeat_sent: None,
             heartbeat_due: time::Duration::ZERO,
-            misses: 0,
+            missed_heartbeats: 0,
             used: size::Size::default(),
-            strays: size::Size::default(),
+            unknown_capacity: size::Size::default(),
             filling_milli: 0,
             lasting: size::Size::default(),
             tasks: collections::BTreeSet::new(),
-            rests_until: time::Duration::ZERO,
-            unsound_until: time::Duration::ZERO,
+            backoff_until: time::Duration::ZERO,
+            quarantined_until: time::Duration::ZERO,
             failures: 0,
             lapsed: Vec::new(),
-            alone: None,
+            reserved_for: None,
             serving: collections::BTreeMap::new(),
             filling: collections::BTreeMap::new(),
             paced: time::Duration::ZERO,
@@ -203,104 +209,107 @@
         }
     }
 
-    /// Returns the least that the worker's clock can show now, once it has answered.
+    /// Returns the earliest time that the worker's clock can show now, once it has answered.
     pub fn clock_ms(&self, now: time::Duration) -> Option<u64> {
-        let (clock_ms, at) = self.sample?;
+        let (clock_ms, at) = self.last_answer?;
         let passed = now.saturating_sub(at);
         let slow = passed * SLOW_CLOCK_MILLI / 1_000;
         Some(clock_ms + millis(passed.saturating_sub(slow)))
     }
 
-    /// Returns how long ago the worker answered last; nothing where it never did.
+    /// Returns the time since the worker last answered, or nothing if it never did.
     pub fn silence(&self, now: time::Duration) -> Option<time::Duration> {
-        self.sample.map(|(_, answered)| now.saturating_sub(answered))
+        self.last_answer.map(|(_, answered)| now.saturating_sub(answered))
     }
 
-    /// Returns until when a new grant of a length lasts, by the worker's clock, and notes it.
-    pub fn grant(&mut self, now: time::Duration, hold: time::Duration) -> Option<u64> {
-        let lease_until_ms = self.clock_ms(now)? + millis(hold);
-        self.granted_ms = self.granted_ms.max(lease_until_ms);
+    /// Grants a lease of a duration; returns its end by the worker's clock, or nothing if that
+    /// clock is unknown.
+    pub fn grant(&mut self, now: time::Duration, duration: time::Duration) -> Option<u64> {
+        let lease_until_ms = self.clock_ms(now)? + millis(duration);
+        self.granted_until_ms = self.granted_until_ms.max(lease_until_ms);
         Some(lease_until_ms)
     }
 
-    /// Returns whether all that was granted is over, so that nothing can run there any more.
+    /// Returns whether all granted leases have expired, so that nothing can run there any more.
     pub fn lapsed(&self, now: time::Duration) -> bool {
         if !self.fenced && now < self.inherited.until {
             return false;
         }
         match self.clock_ms(now) {
-            Some(clock_ms) => clock_ms > self.granted_ms,
+            Some(clock_ms) => clock_ms > self.granted_until_ms,
             None => now >= self.inherited.until,
         }
     }
 
-    /// Returns whether a new task may go there.
+    /// Returns whether a new task may be placed there.
     pub fn takes(&self, task: spec::TaskId, now: time::Duration) -> bool {
         self.takes_in_need(task, now) && !self.is_quarantined(now)
     }
 
-    /// Returns whether it rests, since runs failed or stood still there.
+    /// Returns whether it is quarantined because runs failed or stalled there.
     pub fn is_quarantined(&self, now: time::Duration) -> bool {
-        now < self.unsound_until
+        now < self.quarantined_until
     }
 
-    /// Returns whether a task in need may go there, also while it rests.
+    /// Returns whether a starving task may be placed there, even in quarantine.
     pub fn takes_in_need(&self, task: spec::TaskId, now: time::Duration) -> bool {
-        self.alone.is_none_or(|alone| alone == task) && self.is_available(now)
+        self.reserved_for.is_none_or(|reserved| reserved == task) && self.is_available(now)
     }
 
-    /// Returns whether new tasks may go there as far as the worker is concerned.
+    /// Returns whether the state of the worker itself permits new tasks.
     fn is_available(&self, now: time::Duration) -> bool {
         self.listed
             && self.fenced
             && !self.member.leaving
-            && self.misses == 0
-            && now >= self.rests_until
+            && self.missed_heartbeats == 0
+            && now >= self.backoff_until
     }
 
-    /// Returns whether no start may be ordered there any more, not even again: it leaves, or its hall is closed.
+    /// Returns whether no start may be ordered there, not even again: it is leaving, or its hall is
+    /// closed.
     pub fn is_barred(&self) -> bool {
         self.member.leaving || self.closed
     }
 
-    /// Returns whether it gets nothing new for now, whatever waits.
+    /// Returns whether no task at all may be placed there for now.
     pub fn is_closed_to_all(&self, now: time::Duration) -> bool {
-        !self.is_available(now) || self.is_quarantined(now) || self.alone.is_some()
+        !self.is_available(now) || self.is_quarantined(now) || self.reserved_for.is_some()
     }
 
-    /// Returns the last end that the worker is to forget: all up to it are committed. None is named where the worker
-    /// has forgotten them already, or may have started again since its last answer: the next incarnation numbers its ends from one.
-    pub fn seen(&self) -> u64 {
-        let committed = self.unrecorded.first().map_or(self.heard, |first| first - 1);
-        if self.misses > 0 { 0 } else { committed.min(self.told) }
+    /// Returns the last end that the worker may forget, all ends up to it being committed. Zero if
+    /// the worker has already forgotten them, or may have restarted since its last answer: the next
+    /// incarnation numbers its ends from one.
+    pub fn acknowledged_end(&self) -> u64 {
+        let committed = self.unrecorded.first().map_or(self.last_end_handled, |first| first - 1);
+        if self.missed_heartbeats > 0 { 0 } else { committed.min(self.last_end_listed) }
     }
 
-    /// Returns the room that nothing has, by our word or without it.
+    /// Returns the capacity that neither reserved nor unknown runs take.
     pub fn free(&self) -> size::Size {
-        self.member.capacity.minus(&self.used).minus(&self.strays)
+        self.member.capacity.minus(&self.used).minus(&self.unknown_capacity)
     }
 
-    /// Returns the room that nothing has once everything has ended that ends.
+    /// Returns the capacity that remains free of long-running tasks and unknown runs.
     pub fn free_in_time(&self) -> size::Size {
-        self.member.capacity.minus(&self.lasting).minus(&self.strays)
+        self.member.capacity.minus(&self.lasting).minus(&self.unknown_capacity)
     }
 
-    /// Returns whether everything that is set aside fits the room that the worker told last.
+    /// Returns whether everything reserved fits the capacity that the worker last reported.
     pub fn fits(&self) -> bool {
-        self.used.plus(&self.strays).fits(&self.member.capacity)
+        self.used.plus(&self.unknown_capacity).fits(&self.member.capacity)
     }
 
-    /// Returns so many of its processors as a part of all.
+    /// Returns an amount of CPU as a fraction of the worker's capacity.
     pub fn part(&self, cpu_milli: u64) -> f64 {
         cpu_milli as f64 / self.member.capacity.cpu_milli.max(1) as f64
     }
 
-    /// Returns the processors that are set aside, or at work for tasks that fill.
+    /// Returns the CPU that is reserved or used by best-effort tasks.
     pub fn at_work_milli(&self) -> u64 {
         self.used.cpu_milli + self.filling_at_work_milli()
     }
 
-    /// Returns the processors that are at work for tasks that fill, by their shares.
+    /// Returns the CPU used by best-effort tasks at their shares.
     pub fn filling_at_work_milli(&self) -> u64 {
         let shares = self.filling.values();
         shares.map(|filling| filling.cpu_milli * u64::from(filling.percent) / 100).sum()
@@ -311,13 +320,13 @@
         self.member.labels.iter().any(|own| own == label)
     }
 
-    /// Notes how a run ended, and lets a worker rest that fails again and again.
+    /// Records how a run ended, and quarantines a worker after repeated failures.
     pub fn note_end(&mut self, kind: order::EndKind, now: time::Duration) {
         match kind {
             order::EndKind::Done => self.failures = 0,
             order::EndKind::Failed => {
                 self.failures += 1;
-                if self.failures >= FAILURES_BEFORE_REST {
+                if self.failures >= FAILURES_BEFORE_QUARANTINE {
                     self.quarantine(now);
                 }
             }
@@ -325,12 +334,12 @@
         }
     }
 
-    /// Gives it nothing new for a while.
+    /// Quarantines the worker.
     pub fn quarantine(&mut self, now: time::Duration) {
-        self.unsound_until = now + REST;
+        self.quarantined_until = now + QUARANTINE_TIME;
     }
 
-    /// Sets room aside for a task.
+    /// Reserves capacity for a task.
     pub fn add(&mut self, task: spec::TaskId, step: &spec::Step, image: interference::Image) {
         if self.tasks.insert(task) {
             self.headroom = None;
@@ -356,10 +365,10 @@
         }
     }
 
-    /// Gives the room of a task back.
+    /// Releases the capacity of a task.
     pub fn remove(&mut self, task: spec::TaskId, step: &spec::Step) {
         if self.tasks.remove(&task) {
-            self.alone.take_if(|alone| *alone == task);
+            self.reserved_for.take_if(|reserved| *reserved == task);
             self.headroom = None;
             self.serving.remove(&task);
             self.filling.remove(&task);
@@ -370,19 +379,19 @@
     }
 }
 
-/// Returns the processors that a task wants beyond what is set aside.
+/// Returns the CPU that a task uses beyond what is reserved.
 fn filling(step: &spec::Step) -> u64 {
     if step.fills { step.size.cpu_milli } else { 0 }
 }
 
-/// Returns the room that is set aside for a lasting task.
+/// Returns the capacity reserved for a long-running task.
 fn lasting(step: &spec::Step) -> size::Size {
     if step.lasting { step.reserved() } else { size::Size::default() }
 }
 
-/// Returns how long a lease may last by the holder's clock: the worker's may be 2 % slow, and as much is added for
-/// rounding and trips.
-pub(super) fn longest(lease: time::Duration) -> time::Duration {
+/// Returns the longest time that a lease may last by the holder's clock: the worker's clock may be
+/// 2 % slow, and as much again allows for rounding and round trips.
+pub(super) fn longest_by_holder_clock(lease: time::Duration) -> time::Duration {
     lease + lease * (2 * SLOW_CLOCK_MILLI) / 1_000
 }
 
