--- a/crates/cli/src/jobs.rs
+++ b/crates/cli/src/jobs.rs
@@ -1,4 +1,4 @@
-//! `wharflane job`: hands jobs in, asks how far they are, cancels them, counts what waits.
+//! `wharflane job`: submits jobs, reads their phase, cancels them and counts those that wait.
 
 use std::fs;
 use std::net;
@@ -9,22 +9,22 @@
 use wharflane::job;
 use wharflane_caller::job as caller;
 
-/// How long a host may take to answer.
+/// Limit of one call to a host.
 const TIMEOUT: time::Duration = time::Duration::from_secs(10);
-/// The exit code of a refused call.
+/// Exit code of a call that the host refused for good (status below 500).
 const REFUSED: u8 = 2;
-/// The exit code where nothing is known of what happened.
+/// Exit code of a call whose outcome is unknown; the same call can be repeated.
 const UNKNOWN: u8 = 4;
-/// From this status on nothing is known, or the call may be made again.
+/// From this status on the outcome is unknown or the call can be repeated.
 const SERVER_ERRORS: u16 = 500;
 
-/// Returns the command line.
+/// Returns the `job` subcommand.
 pub fn command() -> clap::Command {
     let text = |name: &'static str, value: &'static str, help: &'static str| {
         clap::Arg::new(name).value_name(value).required(true).help(help)
     };
     let queue = || text("queue", "QUEUE", "The queue");
-    let id = || text("id", "ID", "The job's name: 16 hexadecimal digits");
+    let id = || text("id", "ID", "The job's id: 16 hexadecimal digits");
     let file =
         || text("file", "FILE", "The job as TOML").value_parser(clap::value_parser!(path::PathBuf));
     let host = || {
@@ -33,17 +33,17 @@
             .value_name("ADDR")
             .required(true)
             .value_parser(clap::value_parser!(net::SocketAddr))
-            .help("The callers' port of a host")
+            .help("Address of the callers' port of a host")
     };
     clap::Command::new("job")
-        .about("Hand in jobs and follow them")
+        .about("Submit jobs and follow them")
         .subcommand_required(true)
         .subcommand(
             clap::Command::new("submit")
-                .about("Hand a job in; the same name again is the same job")
+                .about("Submit a job; repeating a submission with the same id is safe")
                 .args([queue(), id(), file(), host()]),
         )
-        .subcommand(clap::Command::new("state").about("Tell how far a job is").args([
+        .subcommand(clap::Command::new("state").about("Print the state of a job").args([
             queue(),
             id(),
             host(),
@@ -55,34 +55,34 @@
         ]))
         .subcommand(
             clap::Command::new("list")
-                .about("Count the jobs of a queue of which no task has begun")
+                .about("Count the jobs of a queue that have not started any task")
                 .args([queue(), host()]),
         )
 }
 
-/// Runs the command that was asked for and returns the exit code.
+/// Runs a subcommand of `job` and returns the exit code.
 #[tokio::main(flavor = "current_thread")]
 pub async fn run(args: &clap::ArgMatches) -> anyhow::Result<u8> {
     let (name, args) = args.subcommand().context("no command")?;
     let addr = *args.get_one::<net::SocketAddr>("host").context("no host")?;
-    let jobs = caller::Jobs::new(addr, TIMEOUT);
+    let client = caller::Jobs::new(addr, TIMEOUT);
     let queue = args.get_one::<String>("queue").context("no queue")?;
     let id = || -> anyhow::Result<job::JobId> {
         let text = args.get_one::<String>("id").context("no id")?;
         text.parse().with_context(|| format!("`{text}`"))
     };
-    let told = match name {
+    let result = match name {
         "submit" => {
             let path = args.get_one::<path::PathBuf>("file").context("no file")?;
-            jobs.submit(queue, id()?, &read(path)?).await
+            client.submit(queue, id()?, &read_submission(path)?).await
         }
-        "state" => jobs.state(queue, id()?).await,
-        "cancel" => jobs.cancel(queue, id()?).await,
-        _ => jobs.waiting(queue).await,
+        "state" => client.state(queue, id()?).await,
+        "cancel" => client.cancel(queue, id()?).await,
+        _ => client.waiting(queue).await,
     };
-    match told {
-        Ok(told) => {
-            println!("{}", serde_json::to_string(&told)?);
+    match result {
+        Ok(result) => {
+            println!("{}", serde_json::to_string(&result)?);
             Ok(0)
         }
         Err(caller::JobError::Refused { status, title }) => {
@@ -90,14 +90,14 @@
             Ok(if status < SERVER_ERRORS { REFUSED } else { UNKNOWN })
         }
         Err(err @ caller::JobError::Call(_)) => {
-            eprintln!("{err}; nothing is known, the same call may be made again");
+            eprintln!("{err}; the outcome is unknown, the same call can be repeated");
             Ok(UNKNOWN)
         }
     }
 }
 
-/// Reads a job file.
-fn read(path: &path::Path) -> anyhow::Result<caller::Submission> {
+/// Reads and parses a job file.
+fn read_submission(path: &path::Path) -> anyhow::Result<caller::Submission> {
     let text =
         fs::read_to_string(path).with_context(|| format!("can't read {}", path.display()))?;
     toml::from_str(&text).with_context(|| path.display().to_string())
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,7 @@
-//! The operators' command line.
+//! The `wharflane` command line for operators.
+//!
+//! Scripts rely on the exit codes: they separate a refusal, a conflict with another submission and
+//! an unknown outcome, after which the same command can be repeated.
 
 mod jobs;
 mod print;
@@ -16,13 +19,13 @@
 use wharflane::{desired, toml_read};
 use wharflane_operator as operator;
 
-/// The exit code of a refused desired state or a command line with faults.
+/// Exit code of a refused desired state or an invalid command line.
 const REFUSED: u8 = 2;
-/// The exit code of a submission that came after another.
-const MOVED: u8 = 3;
-/// The exit code where nothing is known of what happened.
+/// Exit code of a submission whose base revision is no longer in force.
+const CONFLICT: u8 = 3;
+/// Exit code of a command whose outcome is unknown.
 const UNKNOWN: u8 = 4;
-/// How long a host may take to answer.
+/// Limit of one call to a host.
 const TIMEOUT: time::Duration = time::Duration::from_secs(15);
 
 fn main() -> process::ExitCode {
@@ -36,7 +39,7 @@
     }
 }
 
-/// Returns the command line.
+/// Builds the command-line parser.
 fn command() -> clap::Command {
     let host = || {
         clap::Arg::new("host")
@@ -44,87 +47,95 @@
             .value_name("ADDR")
             .required(true)
             .value_parser(clap::value_parser!(net::SocketAddr))
-            .help("The operators' port of a host")
-    };
-    let json = || {
-        clap::Arg::new("json")
-            .long("json")
-            .action(clap::ArgAction::SetTrue)
-            .help("Print JSON for programs")
+            .help("Address of the operators' port of a host")
     };
+    let json =
+        || clap::Arg::new("json").long("json").action(clap::ArgAction::SetTrue).help("Print JSON");
     let file = || {
         clap::Arg::new("file")
             .value_name("FILE")
             .required(true)
             .value_parser(clap::value_parser!(path::PathBuf))
-            .help("The whole desired state")
+            .help("The complete desired state, as TOML")
     };
     let base = clap::Arg::new("base")
         .long("base")
         .value_name("REVISION")
         .value_parser(clap::value_parser!(u64))
-        .help("The revision that FILE was made from; the one in force if absent");
+        .help("Revision that FILE was made from; the one in force by default");
     let apply_id = clap::Arg::new("apply-id")
         .long("apply-id")
         .value_name("ID")
-        .help("Names the submission, so that it can be repeated");
+        .help("Id of the submission, so that it can be repeated safely; random by default");
     let seconds = clap::Arg::new("seconds")
         .long("seconds")
         .default_value("8")
         .value_parser(clap::value_parser!(u64).range(1..=60))
-        .help("How long each of the two parts lasts");
+        .help("Duration of each of the two parts, in seconds");
     let hall = clap::Arg::new("hall")
         .value_name("HALL")
         .required(true)
         .value_parser(clap::builder::NonEmptyStringValueParser::new())
-        .help("The hall");
+        .help("Name of the hall");
     let undo = clap::Arg::new("undo")
         .long("undo")
         .action(clap::ArgAction::SetTrue)
-        .help("Open the hall again");
+        .help("Reopen the hall");
     let shell = clap::Arg::new("shell")
         .required(true)
         .value_parser(clap::value_parser!(clap_complete::Shell))
-        .help("The shell");
+        .help("Shell to generate the completion for");
     clap::Command::new("wharflane")
         .version(env!("CARGO_PKG_VERSION"))
         .about("Operates wharflane, a scheduler for services and batch work on the same workers")
         .after_help(
             "Exit codes: 0 done, 1 failed, 2 refused, 3 another submission came first, \
-             4 nothing is known",
+             4 outcome unknown",
         )
         .subcommand_required(true)
         .subcommand(
             clap::Command::new("check").about("Check a desired state").arg(file()).arg(json()),
         )
+        .subcommand(clap::Command::new("apply").about("Replace the whole desired state").args([
+            file(),
+            host(),
+            base,
+            apply_id,
+            json(),
+        ]))
         .subcommand(
-            clap::Command::new("apply").about("Put a desired state in force as a whole").args([
-                file(),
-                host(),
-                base,
-                apply_id,
-                json(),
-            ]),
+            clap::Command::new("status")
+                .about("Show a summary of a host's state")
+                .args([host(), json()]),
         )
-        .subcommand(clap::Command::new("status").about("Show a summary").args([host(), json()]))
         .subcommand(
-            clap::Command::new("drain").about("Stop a host without cutting a request").arg(host()),
+            clap::Command::new("drain")
+                .about("Stop a host and let its requests in flight finish")
+                .arg(host()),
         )
         .subcommand(
             clap::Command::new("evacuate")
-                .about("Let nothing new start in a hall; what runs there runs on")
+                .about("Cordon a hall: nothing new starts there, running tasks continue")
                 .args([host(), hall, undo]),
         )
-        .subcommand(clap::Command::new("dump").about("Print the whole state of a host").arg(host()))
         .subcommand(
-            clap::Command::new("try").about("Run a demo in one process").args([seconds, json()]),
+            clap::Command::new("dump")
+                .about("Print the complete state of a host as JSON")
+                .arg(host()),
+        )
+        .subcommand(
+            clap::Command::new("try")
+                .about("Run a demo of a whole system in one process")
+                .args([seconds, json()]),
         )
         .subcommand(jobs::command())
         .subcommand(why::command())
-        .subcommand(clap::Command::new("completion").about("Print a shell completion").arg(shell))
+        .subcommand(
+            clap::Command::new("completion").about("Print a shell completion script").arg(shell),
+        )
 }
 
-/// Runs the command that was asked for and returns the exit code.
+/// Runs the chosen subcommand and returns the exit code.
 fn run(matches: &clap::ArgMatches) -> anyhow::Result<u8> {
     let Some((name, args)) = matches.subcommand() else {
         return Ok(REFUSED);
@@ -144,20 +155,20 @@
             let secs = args.get_one::<u64>("seconds").copied().unwrap_or(8);
             trial::run(time::Duration::from_secs(secs), args.get_flag("json"))
         }
-        _ => call(name, args),
+        _ => call_host(name, args),
     }
 }
 
-/// Checks a desired state without a host.
+/// Validates a desired state locally and returns the exit code.
 fn check(args: &clap::ArgMatches) -> anyhow::Result<u8> {
-    let (path, text) = read(args)?;
+    let (path, text) = read_file(args)?;
     let faults = desired::parse(&text).err().unwrap_or_default();
     report_faults(&path, &faults, args.get_flag("json"))
 }
 
-/// Runs a command that asks a host.
+/// Runs a subcommand that calls a host and returns the exit code.
 #[tokio::main(flavor = "current_thread")]
-async fn call(name: &str, args: &clap::ArgMatches) -> anyhow::Result<u8> {
+async fn call_host(name: &str, args: &clap::ArgMatches) -> anyhow::Result<u8> {
     let addr = *args.get_one::<net::SocketAddr>("host").context("no host")?;
     let host = operator::Operator::new(addr, TIMEOUT);
     match name {
@@ -184,7 +195,7 @@
     }
 }
 
-/// Closes a hall, or opens it again.
+/// Closes a hall to new tasks, or reopens it, and returns the exit code.
 async fn evacuate(host: &operator::Operator, args: &clap::ArgMatches) -> anyhow::Result<u8> {
     let hall = args.get_one::<String>("hall").context("no hall")?;
     let undo = args.get_flag("undo");
@@ -195,21 +206,21 @@
             Ok(0)
         }
         Err(err) => {
-            eprintln!("{err}; nothing is known, the same command may be repeated");
+            eprintln!("{err}; the outcome is unknown, the same command can be repeated");
             Ok(UNKNOWN)
         }
     }
 }
 
-/// Submits a desired state.
+/// Submits a desired state and returns the exit code.
 async fn apply(host: &operator::Operator, args: &clap::ArgMatches) -> anyhow::Result<u8> {
-    let (path, text) = read(args)?;
+    let (path, text) = read_file(args)?;
     let base_revision = match args.get_one::<u64>("base") {
         Some(base) => *base,
         None => host.status().await?.revision,
     };
     let apply_id = args.get_one::<String>("apply-id").cloned();
-    let apply_id = apply_id.unwrap_or_else(|| format!("{:x}", rand_id()));
+    let apply_id = apply_id.unwrap_or_else(|| format!("{:x}", random_id()));
     let submission = operator::Apply { apply_id: apply_id.clone(), base_revision, text };
     let applied = host.apply(&submission).await.unwrap_or(operator::Applied::Unknown);
     let json = args.get_flag("json");
@@ -232,10 +243,12 @@
         }
         operator::Applied::Moved { revision } => {
             eprintln!("refused: revision {revision} is in force, not {base_revision}");
-            MOVED
+            CONFLICT
         }
         operator::Applied::Unknown => {
-            eprintln!("nothing is known; repeat with --apply-id {apply_id} --base {base_revision}");
+            eprintln!(
+                "the outcome is unknown; repeat with --apply-id {apply_id} --base {base_revision}"
+            );
             UNKNOWN
         }
     })
@@ -254,16 +267,16 @@
     Ok(if faults.is_empty() { 0 } else { REFUSED })
 }
 
-/// Reads the desired state that was named.
-fn read(args: &clap::ArgMatches) -> anyhow::Result<(path::PathBuf, String)> {
+/// Reads the desired state file and returns its path and text.
+fn read_file(args: &clap::ArgMatches) -> anyhow::Result<(path::PathBuf, String)> {
     let path = args.get_one::<path::PathBuf>("file").context("no file")?;
     let text =
         fs::read_to_string(path).with_context(|| format!("can't read {}", path.display()))?;
     Ok((path.clone(), text))
 }
 
-/// Returns a number that no other submission has.
-fn rand_id() -> u64 {
+/// Returns a random number, unique among submissions for all practical purposes.
+fn random_id() -> u64 {
     use std::hash::{BuildHasher as _, Hasher as _};
     std::collections::hash_map::RandomState::new().build_hasher().finish()
 }
--- a/crates/cli/src/print.rs
+++ b/crates/cli/src/print.rs
@@ -1,8 +1,8 @@
-//! Tables for people.
+//! Human-readable output of `wharflane status`.
 
 use wharflane_operator as operator;
 
-/// Prints a summary.
+/// Prints the summary of a host: its state, closed halls, services and the holder of each hall.
 pub fn status(status: &operator::Status) {
     let platform = if status.platform_up { "up" } else { "down" };
     let stopping = if status.stopping { ", stopping" } else { "" };
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -1,4 +1,8 @@
-//! The demo: a platform, a hall of workers, an entry host and load in one process.
+//! `wharflane try`: a demo that runs a platform, a hall of workers, an entry host and load in one
+//! process.
+//!
+//! It measures a service alone, then the same service beside a batch job that slows the endpoints
+//! on its workers, and prints the latencies of both parts.
 
 use std::io::Write as _;
 use std::net;
@@ -12,54 +16,54 @@
 use wharflane_operator as operator;
 use wharflane_stand_in::{caller, endpoint, history, platform, worker};
 
-/// The number of workers.
+/// Number of workers, enough for one endpoint of the service on each.
 const WORKERS: usize = 6;
-/// Requests a second.
-const RATE: f64 = 300.0;
-/// How long a request takes at an endpoint, in milliseconds.
+/// Load on the service, in requests per second.
+const REQUESTS_PER_S: f64 = 300.0;
+/// Time that an endpoint takes for a request without interference, in milliseconds.
 const SERVICE_MS: u64 = 4;
-/// By how many percent a worker full of batch tasks slows its endpoints.
-const HARM_PERCENT: u64 = 900;
-/// How long the demo waits for the service to stand.
+/// Slowdown of the endpoints on a worker that is full of batch tasks, in percent.
+const SLOWDOWN_PERCENT: u64 = 900;
+/// Limit for an accepted desired state, and for all endpoints of the service to start.
 const START_TIMEOUT: time::Duration = time::Duration::from_secs(20);
-/// How long an operator's call may take.
+/// Limit of one call to the operators' port.
 const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
-/// One row of the result.
+/// Result of one part of the demo.
 #[derive(Debug, Serialize)]
 struct Row {
-    /// What ran beside the service.
+    /// Batch work that ran beside the service.
     part: &'static str,
-    /// Answers.
+    /// Requests that were answered.
     answered: usize,
     /// Requests without an answer.
     unanswered: usize,
-    /// The median latency.
+    /// Median latency, in milliseconds.
     p50_ms: f64,
-    /// The latency that 99 of 100 answers kept.
+    /// Latency that 99 of 100 answers did not exceed, in milliseconds.
     p99_ms: f64,
-    /// The latency that 999 of 1,000 answers kept.
+    /// Latency that 999 of 1,000 answers did not exceed, in milliseconds.
     p999_ms: f64,
-    /// Batch tasks that came to their end.
+    /// Batch tasks that completed.
     batch_done: u64,
-    /// Evictions.
+    /// Evictions of batch tasks.
     evictions: u64,
-    /// Throttles.
+    /// Times that a batch task was throttled.
     throttles: u64,
 }
 
-/// What the batch work had done at a moment.
+/// Counters of the batch work since the start of the demo.
 #[derive(Clone, Copy, Debug, Default)]
-struct Batch {
-    /// Tasks that came to their end.
+struct BatchCounters {
+    /// Tasks that completed.
     done: u64,
-    /// Evictions.
+    /// Evictions, for any cause.
     evictions: u64,
-    /// Throttles.
+    /// Times that a task was throttled.
     throttles: u64,
 }
 
-/// Runs the demo and prints its table.
+/// Runs the demo, prints its results and returns the exit code.
 pub fn run(part: time::Duration, json: bool) -> anyhow::Result<u8> {
     let runtime = tokio::runtime::Runtime::new().context("can't start threads")?;
     let rows = runtime.block_on(demo(part))?;
@@ -97,18 +101,18 @@
     Ok(0)
 }
 
-/// Starts everything and measures both parts.
+/// Starts all components and measures the service alone, then beside the noisy job.
 async fn demo(part: time::Duration) -> anyhow::Result<Vec<Row>> {
     let ports = [free_port()?, free_port()?, free_port()?];
     progress("starting a platform, workers and an entry host");
     let platform_addr = start_machines(ports[2]).await?;
     start_host(ports, platform_addr)?;
     let operator_client = operator::Operator::new(ports[1], CALL_TIMEOUT);
-    apply(&operator_client, 0, "").await?;
+    apply_desired(&operator_client, 0, "").await?;
     wait_for_service(&operator_client).await?;
     progress("the service alone");
     let quiet = measure("nothing", &operator_client, ports[0], part).await?;
-    apply(&operator_client, 1, NOISY).await?;
+    apply_desired(&operator_client, 1, NOISY).await?;
     progress("the service beside a noisy batch job");
     let noisy = measure("a noisy job", &operator_client, ports[0], part).await?;
     Ok(vec![quiet, noisy])
@@ -138,7 +142,7 @@
 repeatable = true
 "#;
 
-/// The batch job that disturbs it.
+/// The batch job that interferes with the service.
 const NOISY: &str = r#"
 [[job]]
 name = "noisy"
@@ -152,10 +156,10 @@
 checkpoint = true
 "#;
 
-/// Starts the platform and the workers in this process.
+/// Starts the platform and the workers, and returns the platform's address.
 async fn start_machines(peer_addr: net::SocketAddr) -> anyhow::Result<net::SocketAddr> {
     let platform = platform::Server::default();
-    let listener = bind().await?;
+    let listener = bind_free_port().await?;
     let platform_addr = listener.local_addr()?;
     tokio::spawn(platform.clone().serve(listener));
     let mut list = members::Members::default();
@@ -163,7 +167,7 @@
     list.hosts.insert("entry".into(), members::Host { peer_addr, presence });
     for number in 0..WORKERS {
         let name = format!("worker-{number}");
-        let listener = bind().await?;
+        let listener = bind_free_port().await?;
         let addr = listener.local_addr()?;
         let make = worker::Make {
             worker: id::WorkerId::from(name.as_str()),
@@ -173,7 +177,7 @@
                 service_ms: SERVICE_MS,
                 ..endpoint::Faults::default()
             },
-            harm_percent: HARM_PERCENT,
+            harm_percent: SLOWDOWN_PERCENT,
         };
         tokio::spawn(worker::Server::new(make, 1, history::History::default()).serve(listener));
         let rack = format!("rack-{}", number % 2);
@@ -184,7 +188,7 @@
     Ok(platform_addr)
 }
 
-/// Starts the entry host on a thread of its own.
+/// Starts the entry host on a separate thread.
 fn start_host(ports: [net::SocketAddr; 3], platform_addr: net::SocketAddr) -> anyhow::Result<()> {
     let [caller, operator, peer] = ports;
     let text = format!(
@@ -205,13 +209,13 @@
     Ok(())
 }
 
-/// Puts the service and what runs beside it in force.
-async fn apply(
+/// Applies the service and the given batch work, until accepted or timed out.
+async fn apply_desired(
     operator_client: &operator::Operator,
     base: u64,
-    beside: &str,
+    extra: &str,
 ) -> anyhow::Result<()> {
-    let text = format!("{SERVICE}{beside}");
+    let text = format!("{SERVICE}{extra}");
     let apply = operator::Apply { apply_id: format!("demo-{base}"), base_revision: base, text };
     let end = tokio::time::Instant::now() + START_TIMEOUT;
     loop {
@@ -219,12 +223,15 @@
         if matches!(applied, Ok(operator::Applied::Accepted { .. })) {
             return Ok(());
         }
-        anyhow::ensure!(tokio::time::Instant::now() < end, "not accepted: {applied:?}");
+        anyhow::ensure!(
+            tokio::time::Instant::now() < end,
+            "desired state not accepted in time: {applied:?}"
+        );
         tokio::time::sleep(time::Duration::from_millis(50)).await;
     }
 }
 
-/// Waits until every endpoint answers.
+/// Waits until every endpoint of the service is in use.
 async fn wait_for_service(operator_client: &operator::Operator) -> anyhow::Result<()> {
     let end = tokio::time::Instant::now() + START_TIMEOUT;
     loop {
@@ -232,32 +239,32 @@
         if status.services.values().any(|s| s.endpoints == s.wanted as usize) {
             return Ok(());
         }
-        anyhow::ensure!(tokio::time::Instant::now() < end, "the service does not stand");
+        anyhow::ensure!(tokio::time::Instant::now() < end, "the service did not start in time");
         tokio::time::sleep(time::Duration::from_millis(100)).await;
     }
 }
 
-/// Measures one part.
+/// Runs the load for one part of the demo and returns its results.
 async fn measure(
     part: &'static str,
     operator_client: &operator::Operator,
     host: net::SocketAddr,
     duration: time::Duration,
 ) -> anyhow::Result<Row> {
-    let before = batch(operator_client).await?;
+    let before = batch_counters(operator_client).await?;
     let load = caller::Load {
         hosts: vec![host],
         service: "echo".to_owned(),
-        rate: RATE,
+        rate: REQUESTS_PER_S,
         duration,
         repeatable: None,
         patience: time::Duration::from_secs(2),
         name: part.replace(' ', "-"),
     };
-    let ticking = tokio::spawn(tick(duration));
+    let timer = tokio::spawn(show_elapsed(duration));
     let report = caller::run(load).await;
-    ticking.abort();
-    let after = batch(operator_client).await?;
+    timer.abort();
+    let after = batch_counters(operator_client).await?;
     let answered = report.count(caller::End::Answered);
     Ok(Row {
         part,
@@ -272,18 +279,18 @@
     })
 }
 
-/// Reads from the state dump what the batch work has done.
-async fn batch(operator_client: &operator::Operator) -> anyhow::Result<Batch> {
+/// Reads the counters of the batch work from the host's state dump.
+async fn batch_counters(operator_client: &operator::Operator) -> anyhow::Result<BatchCounters> {
     let dump = operator_client.dump().await?;
     let counters = &dump["halls"][0]["counters"];
     let number = |key: &str| counters[key].as_u64().unwrap_or(0);
     let evicted = counters["evicted"].as_object();
     let evictions = evicted.map_or(0, |by| by.values().filter_map(|n| n.as_u64()).sum());
-    Ok(Batch { done: number("done"), evictions, throttles: number("throttled") })
+    Ok(BatchCounters { done: number("done"), evictions, throttles: number("throttled") })
 }
 
-/// Shows that time passes.
-async fn tick(duration: time::Duration) {
+/// Prints the elapsed seconds on standard error until the duration is over.
+async fn show_elapsed(duration: time::Duration) {
     for second in 1..=duration.as_secs() {
         tokio::time::sleep(time::Duration::from_secs(1)).await;
         eprint!("\r  {second} of {} s", duration.as_secs());
@@ -292,17 +299,17 @@
     eprintln!();
 }
 
-/// Prints a line of progress.
+/// Prints a progress message on standard error, apart from the results.
 fn progress(line: &str) {
     eprintln!("{line}");
 }
 
-/// Opens a port for a fake.
-async fn bind() -> anyhow::Result<tokio::net::TcpListener> {
+/// Binds a stand-in's listener to a free loopback port.
+async fn bind_free_port() -> anyhow::Result<tokio::net::TcpListener> {
     Ok(tokio::net::TcpListener::bind((net::Ipv4Addr::LOCALHOST, 0)).await?)
 }
 
-/// Finds a port that is free now.
+/// Returns a loopback port that is free now; another process may take it before it is bound.
 fn free_port() -> anyhow::Result<net::SocketAddr> {
     Ok(net::TcpListener::bind((net::Ipv4Addr::LOCALHOST, 0))?.local_addr()?)
 }
--- a/crates/cli/src/why/mod.rs
+++ b/crates/cli/src/why/mod.rs
@@ -1,4 +1,5 @@
-//! `wharflane why`: reads the logs of hosts and tells what became of one job, or of all by queue.
+//! `wharflane why`: reads host logs and prints the history of one job, or a summary of all jobs by
+//! queue.
 
 mod read;
 mod summary;
@@ -8,10 +9,10 @@
 
 use anyhow::Context as _;
 
-/// The exit code where the job is in none of the logs.
+/// Exit code when no log has a line of the job.
 const UNKNOWN: u8 = 4;
 
-/// Returns the command line.
+/// Returns the `why` subcommand.
 pub fn command() -> clap::Command {
     let logs = clap::Arg::new("log")
         .long("log")
@@ -19,12 +20,12 @@
         .required(true)
         .action(clap::ArgAction::Append)
         .value_parser(clap::value_parser!(path::PathBuf))
-        .help("Logs of hosts as JSON lines; what stands before the first brace is passed over");
+        .help("Host log as JSON lines; text before the first brace of a line is ignored");
     let job = clap::Arg::new("job")
         .value_name("ID")
-        .help("The job's name; all jobs by queue where it is left out");
+        .help("The job's id; without it, a summary of all jobs by queue");
     clap::Command::new("why")
-        .about("Tell from logs what became of a job, or where the time of all jobs went")
+        .about("Explain from host logs what happened to a job, or where the time of all jobs went")
         .args([job, logs])
 }
 
@@ -33,12 +34,12 @@
     let mut records = Vec::new();
     for log in args.get_many::<path::PathBuf>("log").into_iter().flatten() {
         let text = fs::read_to_string(log).with_context(|| log.display().to_string())?;
-        records.extend(text.lines().filter_map(read::record));
+        records.extend(text.lines().filter_map(read::parse_line));
     }
-    // Logs of several hosts are read one after the other.
+    // The logs of several hosts are read one after the other; merge them by time.
     records.sort_by_key(|record| record.at);
     match args.get_one::<String>("job") {
-        Some(job) => Ok(tell_job(&records, job)),
+        Some(job) => Ok(print_job(&records, job)),
         None => {
             summary::print(&records);
             Ok(0)
@@ -46,16 +47,18 @@
     }
 }
 
-/// Prints the lines of one job, each with the time since the first.
-fn tell_job(records: &[read::Record], job: &str) -> u8 {
-    let own: Vec<&read::Record> = records.iter().filter(|record| record.is_of(job)).collect();
-    let Some(first) = own.first() else {
-        eprintln!("wharflane: no line of job {job}");
+/// Prints the log lines of a job, each with the milliseconds since the first, and returns the exit
+/// code.
+fn print_job(records: &[read::Record], job: &str) -> u8 {
+    let job_records: Vec<&read::Record> =
+        records.iter().filter(|record| record.is_of(job)).collect();
+    let Some(first) = job_records.first() else {
+        eprintln!("wharflane: no log line of job {job}");
         return UNKNOWN;
     };
-    for record in &own {
+    for record in &job_records {
         let since_ms = record.at.saturating_sub(first.at).as_millis();
-        println!("{since_ms:>8} ms  {}", record.told());
+        println!("{since_ms:>8} ms  {}", record.to_line());
     }
     0
 }
--- a/crates/cli/src/why/summary.rs
+++ b/crates/cli/src/why/summary.rs
@@ -1,75 +1,85 @@
-//! Where the time of all jobs went, by queue.
+//! Summary of all jobs by queue: counts, medians, and causes of delay.
 //!
-//! The work of a job is the sum over its steps of the longest run seen; what it took beyond that is
-//! dealt to the causes that the logs name: no holder, no store, or what kept its tasks from workers.
+//! The work of a job is the sum over its steps of the longest run seen. The rest of the job's time
+//! is delay; it is attributed to the causes that the logs show: time without a holder, time
+//! without the store, and whatever kept the job's tasks from being placed on workers.
 
 use std::collections;
 use std::time;
 
 use super::read;
 
-/// What a job's time beyond its work went to.
+/// Cause of the time that a job took beyond its work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Cause {
     /// No host held the domain.
     Takeover,
-    /// The holder did not reach the store.
+    /// The holder could not reach the store.
     Store,
-    /// Processors or memory were short.
-    Room,
-    /// A serving task would have missed its target, or processors were short for what fills.
-    Harm,
-    /// Workers rested, were leaving or did not answer.
+    /// Workers lacked free processors or memory.
+    Capacity,
+    /// A serving task would have missed its latency target, or processors were short for
+    /// best-effort tasks.
+    Interference,
+    /// Workers were in quarantine, were leaving or did not answer.
     Unavailable,
-    /// Nothing that the logs name: retries of failed runs, waits below what is told, late looks.
+    /// Not named by the logs: retries of failed runs, waits too short to be logged, late
+    /// heartbeats.
     Other,
 }
 
 impl Cause {
-    /// All causes, as the columns stand.
-    const ALL: [Self; 6] =
-        [Self::Takeover, Self::Store, Self::Room, Self::Harm, Self::Unavailable, Self::Other];
+    /// All causes, in the order of the table's columns.
+    const ALL: [Self; 6] = [
+        Self::Takeover,
+        Self::Store,
+        Self::Capacity,
+        Self::Interference,
+        Self::Unavailable,
+        Self::Other,
+    ];
 
-    /// Returns the head of its column.
+    /// Returns the column heading.
     fn label(self) -> &'static str {
         match self {
             Self::Takeover => "takeover",
             Self::Store => "store",
-            Self::Room => "room",
-            Self::Harm => "harm",
+            Self::Capacity => "room",
+            Self::Interference => "harm",
             Self::Unavailable => "unavailable",
             Self::Other => "other",
         }
     }
 }
 
-/// A stretch of time.
-type Span = (time::Duration, time::Duration);
+/// Start and end of an interval, since the Unix epoch.
+type Interval = (time::Duration, time::Duration);
 
-/// What the logs tell of one job.
+/// What the logs show of one job.
 #[derive(Debug, Default)]
 struct Job {
-    /// Its queue: the path that it was handed in to.
+    /// Queue: the request path of the submission without the job's id; absent if no log shows the
+    /// submission.
     queue: Option<String>,
-    /// When it was accepted.
+    /// Time of the first accepted submission.
     accepted: Option<time::Duration>,
-    /// When it ended, and how.
+    /// Time of the first end of the job, and the log message that reports it.
     ended: Option<(time::Duration, String)>,
-    /// When its first task was ordered to start.
-    first: Option<time::Duration>,
-    /// The runs under way, by task.
-    under_way: collections::BTreeMap<String, time::Duration>,
-    /// The longest run of each step.
-    longest: collections::BTreeMap<u32, time::Duration>,
-    /// Runs that failed.
+    /// Time of the first order to start one of its tasks.
+    first_start: Option<time::Duration>,
+    /// Start time of each unfinished run, by task.
+    running: collections::BTreeMap<String, time::Duration>,
+    /// Duration of the longest run, by step.
+    longest_run: collections::BTreeMap<u32, time::Duration>,
+    /// Number of runs that failed.
     failed: u32,
-    /// Runs that were stopped or lapsed.
+    /// Number of runs that were stopped or whose lease lapsed.
     lost: u32,
-    /// What kept its tasks waiting, as it was told last.
-    kept: Option<Cause>,
+    /// What kept the job's tasks waiting, by the last log line that names it.
+    blocked_by: Option<Cause>,
 }
 
-/// Prints a table by queue.
+/// Prints a table with one row for each queue, then totals over all logs.
 pub fn print(records: &[read::Record]) {
     let takeovers = takeovers(records);
     let outages = outages(records);
@@ -88,7 +98,9 @@
     for (queue, jobs) in &queues {
         println!("{}", row(queue, jobs, &takeovers, &outages));
     }
-    let total = |spans: &[Span]| spans.iter().map(|(from, to)| *to - *from).sum::<time::Duration>();
+    let total = |intervals: &[Interval]| {
+        intervals.iter().map(|(from, to)| *to - *from).sum::<time::Duration>()
+    };
     println!(
         "\nchanges of the holder: {}, {:.1} s without one; outages of the store at the holder: {}, {:.1} s",
         takeovers.len(),
@@ -103,22 +115,22 @@
     println!("submissions turned away: {}", refused.count());
 }
 
-/// Returns the row of a queue.
-fn row(queue: &str, jobs: &[Job], takeovers: &[Span], outages: &[Span]) -> String {
+/// Formats the table row of a queue.
+fn row(queue: &str, jobs: &[Job], takeovers: &[Interval], outages: &[Interval]) -> String {
     let ended = |how: &str| {
         jobs.iter().filter(|job| job.ended.as_ref().is_some_and(|(_, end)| end == how)).count()
     };
-    let mut beyond = collections::BTreeMap::<Cause, time::Duration>::new();
-    let (mut whole, mut work, mut first) = (Vec::new(), Vec::new(), Vec::new());
+    let mut delays = collections::BTreeMap::<Cause, time::Duration>::new();
+    let (mut durations, mut work, mut first) = (Vec::new(), Vec::new(), Vec::new());
     for job in jobs {
         let (Some(from), Some((to, _))) = (job.accepted, &job.ended) else {
             continue;
         };
-        whole.push(to.saturating_sub(from));
+        durations.push(to.saturating_sub(from));
         work.push(job.work());
-        first.extend(job.first.map(|first| first.saturating_sub(from)));
-        for (cause, time) in deal(job, (from, *to), takeovers, outages) {
-            *beyond.entry(cause).or_default() += time;
+        first.extend(job.first_start.map(|first| first.saturating_sub(from)));
+        for (cause, time) in attribute_delay(job, (from, *to), takeovers, outages) {
+            *delays.entry(cause).or_default() += time;
         }
     }
     let seconds = |time: time::Duration| format!("{:.2}", time.as_secs_f64());
@@ -128,44 +140,45 @@
         ended("job completed").to_string(),
         ended("job failed").to_string(),
         ended("cancelled").to_string(),
-        seconds(median(&mut whole)),
+        seconds(median(&mut durations)),
         seconds(median(&mut work)),
         seconds(median(&mut first)),
         jobs.iter().map(|job| job.failed).sum::<u32>().to_string(),
         jobs.iter().map(|job| job.lost).sum::<u32>().to_string(),
     ];
-    cells.extend(Cause::ALL.map(|cause| seconds(beyond.get(&cause).copied().unwrap_or_default())));
+    cells.extend(Cause::ALL.map(|cause| seconds(delays.get(&cause).copied().unwrap_or_default())));
     format!("| {} |", cells.join(" | "))
 }
 
-/// Deals the time of a job beyond its work to causes.
-fn deal(
+/// Attributes the time that a job took beyond its work to causes: first takeovers, then store
+/// outages, and what is left to the obstacle that its tasks met.
+fn attribute_delay(
     job: &Job,
-    span: Span,
-    takeovers: &[Span],
-    outages: &[Span],
+    interval: Interval,
+    takeovers: &[Interval],
+    outages: &[Interval],
 ) -> Vec<(Cause, time::Duration)> {
-    let mut left = span.1.saturating_sub(span.0).saturating_sub(job.work());
-    let mut dealt = Vec::new();
-    let mut take = |cause, time: time::Duration| {
+    let mut left = interval.1.saturating_sub(interval.0).saturating_sub(job.work());
+    let mut shares = Vec::new();
+    let mut attribute = |cause, time: time::Duration| {
         let time = time.min(left);
         left -= time;
-        dealt.push((cause, time));
+        shares.push((cause, time));
     };
-    take(Cause::Takeover, overlap(span, takeovers));
-    take(Cause::Store, overlap(span, outages));
-    take(job.kept.unwrap_or(Cause::Other), time::Duration::MAX);
-    dealt
+    attribute(Cause::Takeover, overlap(interval, takeovers));
+    attribute(Cause::Store, overlap(interval, outages));
+    attribute(job.blocked_by.unwrap_or(Cause::Other), time::Duration::MAX);
+    shares
 }
 
 impl Job {
-    /// Returns the sum over its steps of the longest run.
+    /// Returns the sum over the steps of the longest run.
     fn work(&self) -> time::Duration {
-        self.longest.values().sum()
+        self.longest_run.values().sum()
     }
 
-    /// Takes a line about the job.
-    fn take(&mut self, record: &read::Record) {
+    /// Updates the job from one of its log lines.
+    fn record_line(&mut self, record: &read::Record) {
         let task = record.text("task").unwrap_or_default();
         match record.message.as_str() {
             "call answered" if record.text("answer") == Some("Accepted") => {
@@ -174,11 +187,11 @@
                 self.accepted = self.accepted.or(Some(record.at));
             }
             "start ordered" => {
-                self.first = self.first.or(Some(record.at));
-                self.under_way.insert(task.to_owned(), record.at);
+                self.first_start = self.first_start.or(Some(record.at));
+                self.running.insert(task.to_owned(), record.at);
             }
-            "end taken in" => self.take_end(record, task),
-            "no worker for a task" => self.kept = kept(record),
+            "end taken in" => self.record_end(record, task),
+            "no worker for a task" => self.blocked_by = main_obstacle(record),
             "job completed" | "job failed" | "cancelled" => {
                 self.ended = self.ended.take().or(Some((record.at, record.message.clone())));
             }
@@ -186,9 +199,9 @@
         }
     }
 
-    /// Takes the end of a run.
-    fn take_end(&mut self, record: &read::Record, task: &str) {
-        let Some(began) = self.under_way.remove(task) else {
+    /// Records the end of a run; ignores runs whose start is in none of the logs.
+    fn record_end(&mut self, record: &read::Record, task: &str) {
+        let Some(began) = self.running.remove(task) else {
             return;
         };
         match record.text("how") {
@@ -197,71 +210,75 @@
             _ => self.lost += 1,
         }
         let took = record.at.saturating_sub(began);
-        let longest = self.longest.entry(record.step().unwrap_or(0)).or_default();
+        let longest = self.longest_run.entry(record.step().unwrap_or(0)).or_default();
         *longest = (*longest).max(took);
     }
 }
 
-/// Returns what keeps a task from most workers.
-fn kept(record: &read::Record) -> Option<Cause> {
+/// Returns the obstacle that most workers have for a task, of interference, capacity and
+/// availability.
+fn main_obstacle(record: &read::Record) -> Option<Cause> {
     let counts = [
-        (record.number("harm"), Cause::Harm),
-        (record.number("no_room"), Cause::Room),
+        (record.number("harm"), Cause::Interference),
+        (record.number("no_room"), Cause::Capacity),
         (record.number("unavailable"), Cause::Unavailable),
     ];
     let most = counts.into_iter().max_by_key(|(count, _)| count.unwrap_or(0))?;
     most.0.filter(|count| *count > 0).map(|_| most.1)
 }
 
-/// Gathers the lines of each job.
+/// Builds the history of each job, by job id.
 fn jobs(records: &[read::Record]) -> collections::BTreeMap<String, Job> {
     let mut jobs = collections::BTreeMap::<String, Job>::new();
     for record in records {
         if let Some(job) = record.job() {
-            jobs.entry(job.to_owned()).or_default().take(record);
+            jobs.entry(job.to_owned()).or_default().record_line(record);
         }
     }
     jobs
 }
 
-/// Returns the stretches without a holder: from the last order or end of one to the start of the next.
-fn takeovers(records: &[read::Record]) -> Vec<Span> {
-    let mut spans = Vec::new();
+/// Returns the intervals without a holder: from the last start ordered or end recorded by one
+/// holder to the takeover by the next.
+fn takeovers(records: &[read::Record]) -> Vec<Interval> {
+    let mut intervals = Vec::new();
     let mut last = None;
     for record in records {
         match record.message.as_str() {
             "start ordered" | "end taken in" => last = Some(record.at),
-            "holding the domain" => spans.extend(last.take().map(|last| (last, record.at))),
+            "holding the domain" => intervals.extend(last.take().map(|last| (last, record.at))),
             _ => {}
         }
     }
-    spans
+    intervals
 }
 
-/// Returns the stretches in which commits were in doubt: from the first line to the last of a row of them.
-fn outages(records: &[read::Record]) -> Vec<Span> {
-    /// Lines further apart belong to two outages; they come each 150 ms and the time of a call.
-    const APART: time::Duration = time::Duration::from_millis(1_500);
-    let mut spans = Vec::<Span>::new();
+/// Returns the store outages: each spans a series of log lines about commits with unknown outcome,
+/// from the first to the last.
+fn outages(records: &[read::Record]) -> Vec<Interval> {
+    /// Lines further apart belong to different outages. During one outage they come every 150 ms
+    /// plus the time of a call.
+    const MAX_GAP: time::Duration = time::Duration::from_millis(1_500);
+    let mut intervals = Vec::<Interval>::new();
     for record in records.iter().filter(|record| record.message.starts_with("commit in doubt")) {
-        match spans.last_mut() {
-            Some(last) if record.at.saturating_sub(last.1) <= APART => last.1 = record.at,
-            _ => spans.push((record.at, record.at)),
+        match intervals.last_mut() {
+            Some(last) if record.at.saturating_sub(last.1) <= MAX_GAP => last.1 = record.at,
+            _ => intervals.push((record.at, record.at)),
         }
     }
-    spans
+    intervals
 }
 
-/// Returns how much of a stretch lies within others.
-fn overlap(span: Span, others: &[Span]) -> time::Duration {
+/// Returns how much of an interval the others cover.
+fn overlap(interval: Interval, others: &[Interval]) -> time::Duration {
     let within = others.iter().map(|other| {
-        let (from, to) = (span.0.max(other.0), span.1.min(other.1));
+        let (from, to) = (interval.0.max(other.0), interval.1.min(other.1));
         to.saturating_sub(from)
     });
     within.sum()
 }
 
-/// Returns the middle one of some times.
+/// Returns the median, or zero for no times; sorts the slice.
 fn median(times: &mut [time::Duration]) -> time::Duration {
     times.sort();
     times.get(times.len() / 2).copied().unwrap_or_default()
--- a/crates/cli/tests/processes/closed_halls.rs
+++ b/crates/cli/tests/processes/closed_halls.rs
@@ -1,4 +1,4 @@
-//! A hall that operators close and open again, with hosts as separate processes.
+//! Operators close and reopen a hall of the job service; hosts are separate processes.
 
 use std::time;
 
@@ -12,65 +12,65 @@
 use crate::jobs;
 
 cases! {
-    nothing_starts_in_a_hall_from_its_closing_to_its_opening => fleet::run(closed_and_opened()),
+    nothing_starts_in_a_closed_hall_until_it_is_reopened => fleet::run(closed_and_reopened()),
     a_hall_stays_closed_when_its_holder_is_killed => fleet::run(holder_killed()),
 }
 
-/// The hall of the workers.
+/// The only hall, with all workers.
 const HALL: &str = "hall";
-/// How long a call may take.
+/// Limit of one operator call.
 const TIMEOUT: time::Duration = time::Duration::from_secs(5);
-/// How long it is watched that nothing starts; a start takes some 50 ms.
-const WATCHED: time::Duration = time::Duration::from_millis(1_500);
+/// How long the tests check that nothing starts; a start takes about 50 ms.
+const OBSERVATION_TIME: time::Duration = time::Duration::from_millis(1_500);
 
-/// Lets the command line close the hall or open it, and waits until all hosts know.
-async fn order(service: &jobs::Service, closes: bool) {
+/// Closes or reopens the hall with the command line, and waits until all hosts show it.
+async fn set_hall_closed(service: &jobs::JobService, closed: bool) {
     let host = service.operators[0].to_string();
     let mut args = vec!["evacuate", HALL, "--host", &host];
-    if !closes {
+    if !closed {
         args.push("--undo");
     }
     let output = fleet::output("wharflane", &args).await;
-    let told = String::from_utf8_lossy(&output.stdout).trim().to_owned();
-    assert_eq!(told, if closes { "hall closed" } else { "hall open" });
+    let printed = String::from_utf8_lossy(&output.stdout).trim().to_owned();
+    assert_eq!(printed, if closed { "hall closed" } else { "hall open" });
     for addr in &service.operators {
         let host = operator::Operator::new(*addr, TIMEOUT);
-        fleet::until("the order heard", async || {
+        fleet::wait_until("the host to show whether the hall is closed", async || {
             let status = host.status().await;
-            status.is_ok_and(|status| status.closed_since_s.contains_key(HALL) == closes)
+            status.is_ok_and(|status| status.closed_since_s.contains_key(HALL) == closed)
         })
         .await;
     }
 }
 
-/// Returns how many tasks were started.
-fn starts(service: &jobs::Service) -> u64 {
+/// Returns how many tasks have been started so far.
+fn starts(service: &jobs::JobService) -> u64 {
     service.platform.lock().judge.starts
 }
 
-/// Closes the hall, hands a job in, and opens the hall again.
-async fn closed_and_opened() {
-    let service = jobs::Service::start(2).await;
-    order(&service, true).await;
+/// A job submitted to a closed hall waits and starts no task; it runs once the hall is reopened.
+async fn closed_and_reopened() {
+    let service = jobs::JobService::start(2).await;
+    set_hall_closed(&service, true).await;
     let id = service.submit(1, 1).await;
-    tokio::time::sleep(WATCHED).await;
+    tokio::time::sleep(OBSERVATION_TIME).await;
     assert_eq!(starts(&service), 0);
-    let told = service.jobs(1).waiting(server::QUEUE).await.expect("a count");
-    assert_eq!(told, caller::JobReply::Waiting(1));
-    order(&service, false).await;
-    service.until(0, id, job::Phase::Completed).await;
-    order(&service, false).await;
+    let reply = service.jobs(1).waiting(server::QUEUE).await.expect("no count");
+    assert_eq!(reply, caller::JobReply::Waiting(1));
+    set_hall_closed(&service, false).await;
+    service.wait_for_phase(0, id, job::Phase::Completed).await;
+    set_hall_closed(&service, false).await;
 }
 
-/// Kills the host that holds the domain while the hall is closed.
+/// Kills the holder while the hall is closed: the next holder starts nothing until it is reopened.
 async fn holder_killed() {
-    let mut service = jobs::Service::start(2).await;
-    order(&service, true).await;
+    let mut service = jobs::JobService::start(2).await;
+    set_hall_closed(&service, true).await;
     service.kill(0);
     let id = service.submit(1, 1).await;
-    tokio::time::sleep(WATCHED * 3).await;
+    tokio::time::sleep(OBSERVATION_TIME * 3).await;
     assert_eq!(starts(&service), 0);
     let host = operator::Operator::new(service.operators[1], TIMEOUT);
-    host.open_hall(HALL).await.expect("an answer");
-    service.until(1, id, job::Phase::Completed).await;
+    host.open_hall(HALL).await.expect("no answer");
+    service.wait_for_phase(1, id, job::Phase::Completed).await;
 }
--- a/crates/cli/tests/processes/path.rs
+++ b/crates/cli/tests/processes/end_to_end.rs
@@ -1,4 +1,4 @@
-//! One request from end to end, and one batch job from file to end.
+//! Requests and batch jobs through all processes, HTTP/2 callers, and the host's JSON log.
 
 use std::collections;
 
@@ -7,7 +7,7 @@
 
 use crate::fleet;
 
-/// Verbeeck's example with other numbers, so that it fits a few small workers.
+/// Returns `examples/verbeeck.toml` with smaller numbers, so that it fits a few small workers.
 fn small_verbeeck() -> String {
     let text = include_str!("../../../../examples/verbeeck.toml");
     let text = text.replace("count = 65", "count = 4").replace("tasks = 200", "tasks = 6");
@@ -19,25 +19,30 @@
 
 cases! {
     http_2_callers_are_answered => fleet::run(http_2()),
-    logs_are_json_where_settings_say_so => fleet::run(json_logs()),
-    requests_are_answered_and_batch_jobs_end => fleet::run(whole_path()),
+    logs_are_json_when_configured => fleet::run(json_logs()),
+    requests_are_answered_and_batch_jobs_complete => fleet::run(requests_and_jobs()),
 }
 
-/// Starts all processes, serves requests, ends two jobs, and checks what the fakes saw.
-async fn whole_path() {
+/// Serves requests and completes two jobs, and checks the events that the stand-ins recorded.
+async fn requests_and_jobs() {
     let halls = ["gent", "brugge", "antwerpen", "leuven"];
     let fleet = fleet::Fleet::start(2, 4, &halls).await;
     fleet.apply("entry-0", &small_verbeeck()).await;
     fleet.wait_for_endpoints("dispatch", 4).await;
     let report = caller::run(fleet.load("path", "dispatch", 100.0, 3)).await;
-    assert_eq!(report.count(caller::End::Answered), report.seen.len(), "all answered");
-    fleet::until("jobs end", async || completed(&fleet.events().await).len() == 10).await;
+    assert_eq!(
+        report.count(caller::End::Answered),
+        report.seen.len(),
+        "not all requests were answered"
+    );
+    fleet::wait_until("the jobs to end", async || completed(&fleet.events().await).len() == 10)
+        .await;
     let events = fleet.events().await;
     assert_eq!(checker::check(&events), Vec::new());
-    assert!(checker::runs(&events).values().all(|runs| *runs == 1), "each request ran once");
+    assert!(checker::runs(&events).values().all(|runs| *runs == 1), "a request ran more than once");
 }
 
-/// Returns the tasks that came to their end.
+/// Returns the tasks that completed.
 fn completed(events: &[history::Event]) -> collections::BTreeSet<id::TaskId> {
     let ended = events.iter().filter_map(|event| match event {
         history::Event::Completed { task, .. } => Some(task.clone()),
@@ -46,7 +51,7 @@
     ended.collect()
 }
 
-/// Sends requests over one HTTP/2 connection without TLS.
+/// Sends concurrent requests over HTTP/2 without TLS.
 async fn http_2() {
     use http_body_util::BodyExt as _;
     let fleet = fleet::Fleet::start(1, 4, &["gent", "brugge", "antwerpen", "leuven"]).await;
@@ -56,24 +61,24 @@
         hyper_util::client::legacy::Client::builder(hyper_util::rt::TokioExecutor::new());
     let client = builder.http2_only(true).build_http();
     let host = fleet.host("entry-0").caller;
-    let asked = (0..20).map(|number| {
+    let responses = (0..20).map(|number| {
         let body = http_body_util::Full::new(bytes::Bytes::from(number.to_string()));
         let uri = format!("http://{host}/dispatch/{number}");
-        client.request(hyper::Request::post(uri).body(body).expect("a request"))
+        client.request(hyper::Request::post(uri).body(body).expect("can't build the request"))
     });
-    for (number, answer) in futures::future::join_all(asked).await.into_iter().enumerate() {
-        let answer = answer.expect("an answer");
+    for (number, answer) in futures::future::join_all(responses).await.into_iter().enumerate() {
+        let answer = answer.expect("no answer");
         assert_eq!(answer.headers()["wharflane-outcome"], "answered");
-        let body = answer.into_body().collect().await.expect("a body").to_bytes();
+        let body = answer.into_body().collect().await.expect("can't read the body").to_bytes();
         assert_eq!(body, format!("/{number} {number}"));
     }
 }
 
-/// Starts a host that logs JSON and reads its first lines.
+/// The first line of a host with `format = "json"` is a JSON record with message and fields.
 async fn json_logs() {
     let fleet = fleet::Fleet::start(0, 0, &["gent"]).await;
     let lines = fleet.first_log_lines("entry-log", "format = \"json\"\nlevel = \"info\"", 1);
-    let line: serde_json::Value = serde_json::from_str(&lines[0]).expect("JSON");
+    let line: serde_json::Value = serde_json::from_str(&lines[0]).expect("the line is not JSON");
     assert_eq!(line["fields"]["message"], "host up");
     assert_eq!(line["fields"]["host"], "entry-log");
 }
--- a/crates/cli/tests/processes/fleet.rs
+++ b/crates/cli/tests/processes/fleet.rs
@@ -1,4 +1,5 @@
-//! Starts the separate processes on loopback and stops them at the end of a test.
+//! Starts platform, workers and entry hosts as separate processes on loopback, and stops them at
+//! the end of a test.
 
 use std::collections;
 use std::fs;
@@ -15,7 +16,7 @@
 use wharflane_operator as operator;
 use wharflane_stand_in::{caller, history};
 
-/// One service, which a test may put a job beside.
+/// A desired state with one service; tests may add a job that runs beside it.
 pub const SERVICE: &str = r#"
 class = [{ name = "paid", priority = 10 }, { name = "spare", priority = 1 }]
 team = [{ name = "ours" }]
@@ -31,41 +32,43 @@
 latency_target_ms = 100
 "#;
 
-/// How long anything may take before the test gives up.
-const PATIENCE: time::Duration = time::Duration::from_secs(60);
-/// Held while a port is tried and while a process starts: a new process has, for a moment, all
-/// sockets of this one open, and a port that is just being tried would stay taken.
-static FORK: sync::Mutex<()> = sync::Mutex::new(());
-/// The ports of one process of tests, which takes some 400 in all.
-const PORTS: u16 = 1_000;
-/// The ports that processes of tests share out, below those that the system gives to outgoing connections.
-const ALL_PORTS: std::ops::Range<u16> = 10_000..32_000;
-/// The ports of this process.
-static OWN_PORTS: sync::LazyLock<OwnPorts> = sync::LazyLock::new(OwnPorts::claim);
-
-/// Ports that no other process of tests takes while this one runs: between the try of a port and its use by a host,
-/// another's host would open it, and answer in the place of ours.
-struct OwnPorts {
-    /// The first port, open until the process ends so that others pass the rest by.
-    _claim: net::TcpListener,
-    /// The next port to try.
+/// Limit of any wait before the test fails.
+const WAIT_TIMEOUT: time::Duration = time::Duration::from_secs(60);
+/// Held while a port is probed and while a process is spawned. A new process shares all open
+/// sockets of this one for a moment, so a port probed at that time would stay in use.
+static SPAWN_LOCK: sync::Mutex<()> = sync::Mutex::new(());
+/// Number of ports that one test process reserves; its tests use about 400 in all.
+const PORTS_PER_PROCESS: u16 = 1_000;
+/// Ports that test processes divide among them, below those that the system uses for outgoing
+/// connections.
+const PORT_RANGE: std::ops::Range<u16> = 10_000..32_000;
+/// The ports reserved for this test process.
+static PORT_BLOCK: sync::LazyLock<PortBlock> = sync::LazyLock::new(PortBlock::reserve);
+
+/// A block of ports reserved for one test process while it runs. Without it, a host of another test
+/// process could bind a port between its probe and its use here, and answer in our host's place.
+struct PortBlock {
+    /// Listener on the first port, open until the process ends; it marks the block as reserved.
+    _listener: net::TcpListener,
+    /// The next port to probe.
     next: sync::atomic::AtomicU16,
 }
 
-impl OwnPorts {
-    /// Claims the first ports whose claim is open to nobody else.
-    fn claim() -> Self {
-        let claim = |first| net::TcpListener::bind((net::Ipv4Addr::LOCALHOST, first)).ok();
-        let mut firsts = ALL_PORTS.step_by(usize::from(PORTS));
-        let found = firsts.find_map(|first| Some((first, claim(first)?)));
-        let (first, claim) = found.expect("ports that no other process of tests has");
-        Self { _claim: claim, next: sync::atomic::AtomicU16::new(first + 1) }
+impl PortBlock {
+    /// Reserves the first block whose first port can be bound.
+    fn reserve() -> Self {
+        let bind = |first| net::TcpListener::bind((net::Ipv4Addr::LOCALHOST, first)).ok();
+        let mut first_ports = PORT_RANGE.step_by(usize::from(PORTS_PER_PROCESS));
+        let found = first_ports.find_map(|first| Some((first, bind(first)?)));
+        let (first, listener) =
+            found.expect("other test processes have reserved all blocks of ports");
+        Self { _listener: listener, next: sync::atomic::AtomicU16::new(first + 1) }
     }
 }
-/// How long a call may take.
-const CALL: time::Duration = time::Duration::from_secs(10);
+/// Limit of one call to a process.
+const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// A process that ends with the test.
+/// A child process that is killed on drop.
 #[derive(Debug)]
 pub struct Process(process::Child);
 
@@ -77,78 +80,78 @@
 }
 
 impl Process {
-    /// Sends a signal by its number.
+    /// Sends a signal, given as an option of `kill` such as `-TERM`.
     pub fn signal(&self, signal: &str) {
         let pid = self.0.id().to_string();
         let sent = process::Command::new("kill").args([signal, &pid]).status();
-        assert!(sent.is_ok_and(|status| status.success()), "signal {signal}");
+        assert!(sent.is_ok_and(|status| status.success()), "can't send signal {signal}");
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
         self.signal("-KILL");
         self.wait();
     }
 
-    /// Waits for the end and returns whether it was a success.
+    /// Waits until the process has exited and returns whether it did so with success.
     pub fn wait(&mut self) -> bool {
         self.0.wait().is_ok_and(|status| status.success())
     }
 }
 
-/// An entry host.
+/// An entry host in a process of its own.
 #[derive(Debug)]
 pub struct Host {
-    /// The process.
+    /// The daemon's process.
     pub process: Process,
-    /// Where callers connect.
+    /// Address of the callers' port.
     pub caller: net::SocketAddr,
-    /// Where operators connect.
+    /// Address of the operators' port.
     pub operator: net::SocketAddr,
-    /// Where peers connect.
+    /// Address of the port for gossip with other hosts.
     pub peer: net::SocketAddr,
 }
 
 impl Host {
-    /// Returns a client of the operators' port.
+    /// Returns a client for the operators' port.
     pub fn operator_client(&self) -> operator::Operator {
-        operator::Operator::new(self.operator, CALL)
+        operator::Operator::new(self.operator, CALL_TIMEOUT)
     }
 }
 
-/// All processes of a test.
+/// All processes of one test.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The folder with settings.
+    /// Folder of settings and desired states, removed on drop.
     folder: tempfile::TempDir,
-    /// Where the platform answers.
+    /// Address of the platform.
     pub platform: net::SocketAddr,
-    /// The platform.
+    /// The platform's process, killed on drop.
     _platform: Process,
-    /// The workers by name, with their addresses.
+    /// Process and address of each worker, by name.
     pub workers: collections::BTreeMap<String, (Process, net::SocketAddr)>,
-    /// The entry hosts by name.
+    /// The entry hosts, by name.
     pub hosts: collections::BTreeMap<String, Host>,
-    /// The list that the platform shows.
+    /// The list of machines that the platform gives to the hosts once it is published.
     pub members: members::Members,
-    /// A client for switches.
+    /// HTTP client for the stand-ins and for metrics.
     client: client::Client,
 }
 
 impl Fleet {
-    /// Starts a platform, entry hosts, and workers spread over halls.
+    /// Starts a platform, workers spread evenly over the halls, and entry hosts in the first hall.
     pub async fn start(hosts: usize, workers: usize, halls: &[&str]) -> Self {
         let platform = free_port();
         let addr = platform.to_string();
         let process = spawn("wharflane-stand-in", &["platform", "--addr", &addr]);
         let mut fleet = Self {
-            folder: tempfile::tempdir().expect("a folder for settings"),
+            folder: tempfile::tempdir().expect("can't create a folder for settings"),
             platform,
             _platform: process,
             workers: collections::BTreeMap::new(),
             hosts: collections::BTreeMap::new(),
             members: members::Members::default(),
-            client: client::Client::new(CALL),
+            client: client::Client::new(CALL_TIMEOUT),
         };
         for number in 0..workers {
             fleet.add_worker(&format!("worker-{number}"), halls[number % halls.len()]);
@@ -156,11 +159,14 @@
         for number in 0..hosts {
             fleet.add_host(&format!("entry-{number}"), halls[0]);
         }
-        until("the platform", async || fleet.list().await).await;
+        wait_until("the platform to accept the list of machines", async || {
+            fleet.publish_members().await
+        })
+        .await;
         fleet
     }
 
-    /// Starts a worker.
+    /// Starts a worker and adds it to the list of machines, without publishing the list.
     pub fn add_worker(&mut self, name: &str, hall: &str) {
         let addr = free_port();
         let text = addr.to_string();
@@ -172,7 +178,7 @@
         self.members.workers.insert(name.into(), member);
     }
 
-    /// Starts an entry host that ends with this call, and returns its first lines of log.
+    /// Runs an entry host for the length of this call, and returns the first lines of its log.
     pub fn first_log_lines(&self, name: &str, log: &str, count: usize) -> Vec<String> {
         let [caller, operator, peer] = [free_port(), free_port(), free_port()];
         let text = format!(
@@ -182,17 +188,17 @@
             self.platform
         );
         let path = self.folder.path().join(format!("{name}.toml"));
-        fs::write(&path, text).expect("settings written");
-        let mut command = process::Command::new(bin("wharflaned"));
+        fs::write(&path, text).expect("can't write the settings");
+        let mut command = process::Command::new(program_path("wharflaned"));
         command.arg("--config").arg(&path).stdout(process::Stdio::piped());
         let mut child = start(&mut command);
-        let stdout = child.stdout.take().expect("its log");
+        let stdout = child.stdout.take().expect("the log is not piped");
         let _process = Process(child);
         let lines = io::BufReader::new(stdout).lines().take(count);
-        lines.map(|line| line.expect("a line")).collect()
+        lines.map(|line| line.expect("can't read a log line")).collect()
     }
 
-    /// Starts an entry host.
+    /// Starts an entry host and adds it to the list of machines, without publishing the list.
     pub fn add_host(&mut self, name: &str, hall: &str) {
         let [caller, operator, peer] = [free_port(), free_port(), free_port()];
         let seeds: Vec<String> =
@@ -208,7 +214,7 @@
             self.platform
         );
         let path = self.folder.path().join(format!("{name}.toml"));
-        fs::write(&path, text).expect("settings written");
+        fs::write(&path, text).expect("can't write the settings");
         let path = path.to_string_lossy().into_owned();
         let process = spawn("wharflaned", &["--config", &path]);
         self.hosts.insert(name.to_owned(), Host { process, caller, operator, peer });
@@ -216,51 +222,53 @@
         self.members.hosts.insert(name.into(), host);
     }
 
-    /// Shows the list of machines to the hosts; returns whether the platform took it.
-    pub async fn list(&self) -> bool {
-        self.put(self.platform, "members", &self.members).await
+    /// Publishes the list of machines through the platform; returns whether the platform accepted
+    /// it.
+    pub async fn publish_members(&self) -> bool {
+        self.set_switch(self.platform, "members", &self.members).await
     }
 
-    /// Sets a switch of a fake; returns whether it was taken.
-    pub async fn put<T: serde::Serialize + Sync>(
+    /// Sets a switch of a stand-in; returns whether the stand-in accepted it.
+    pub async fn set_switch<T: serde::Serialize + Sync>(
         &self,
         addr: net::SocketAddr,
         switch: &str,
         value: &T,
     ) -> bool {
-        let body = serde_json::to_vec(value).expect("switch encoded");
+        let body = serde_json::to_vec(value).expect("can't encode the switch");
         let url = format!("http://{addr}/stand-in/{switch}");
         self.client.send(hyper::Method::PUT, &url, body.into()).await.is_ok()
     }
 
-    /// Returns the host of a name.
+    /// Returns the host with the given name.
     pub fn host(&self, name: &str) -> &Host {
         &self.hosts[name]
     }
 
-    /// Puts a desired state in force through a host and returns its revision.
+    /// Applies a desired state through a host with the command line, and returns its revision.
     pub async fn apply(&self, host: &str, text: &str) -> u64 {
         let operator_client = self.host(host).operator_client();
-        until("operators' port", async || operator_client.status().await.is_ok()).await;
+        wait_until("the host to answer operators", async || operator_client.status().await.is_ok())
+            .await;
         let path = self.folder.path().join("desired.toml");
-        fs::write(&path, text).expect("desired state written");
+        fs::write(&path, text).expect("can't write the desired state");
         let operator = self.host(host).operator.to_string();
         let path = path.to_string_lossy().into_owned();
-        let output = process::Command::new(bin("wharflane"))
+        let output = process::Command::new(program_path("wharflane"))
             .args(["apply", &path, "--host", &operator, "--json"])
             .output()
-            .expect("apply runs");
+            .expect("can't run `wharflane apply`");
         match serde_json::from_slice(&output.stdout) {
             Ok(operator::Applied::Accepted { revision }) => revision,
-            other => panic!("not accepted: {other:?}"),
+            other => panic!("the desired state was not accepted: {other:?}"),
         }
     }
 
-    /// Waits until every host sends requests to so many endpoints of a service.
+    /// Waits until every host uses at least `count` endpoints of a service.
     pub async fn wait_for_endpoints(&self, service: &str, count: usize) {
         for host in self.hosts.values() {
             let operator_client = host.operator_client();
-            until("endpoints", async || {
+            wait_until("the endpoints to be in use", async || {
                 let status = operator_client.status().await.unwrap_or_default();
                 status.services.get(service).is_some_and(|s| s.endpoints >= count)
             })
@@ -268,14 +276,14 @@
         }
     }
 
-    /// Returns the metrics of a host.
+    /// Returns the text of a host's metrics page.
     pub async fn metrics(&self, host: &str) -> String {
         let url = format!("http://{}/metrics", self.host(host).operator);
         let body = self.client.send(hyper::Method::GET, &url, bytes::Bytes::new()).await;
-        String::from_utf8_lossy(&body.expect("metrics")).into_owned()
+        String::from_utf8_lossy(&body.expect("no metrics")).into_owned()
     }
 
-    /// Returns what all workers saw.
+    /// Returns the events that all workers recorded, worker by worker.
     pub async fn events(&self) -> Vec<history::Event> {
         let mut all = Vec::new();
         for worker in self.workers.keys() {
@@ -284,14 +292,14 @@
         all
     }
 
-    /// Returns what one worker saw.
+    /// Returns the events that a worker recorded, or none if it does not answer.
     pub async fn events_of(&self, worker: &str) -> Vec<history::Event> {
         let (_, addr) = &self.workers[worker];
         let url = format!("http://{addr}/stand-in/events");
         self.client.get(&url).await.unwrap_or_default()
     }
 
-    /// Returns a load on all hosts.
+    /// Returns a load of `rate` requests per second, spread over all hosts.
     pub fn load(&self, name: &str, service: &str, rate: f64, seconds: u64) -> caller::Load {
         caller::Load {
             hosts: self.hosts.values().map(|host| host.caller).collect(),
@@ -305,61 +313,64 @@
     }
 }
 
-/// Waits until something holds.
-pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let end = tokio::time::Instant::now() + PATIENCE;
-    while !holds().await {
-        assert!(tokio::time::Instant::now() < end, "{what} in time");
+/// Waits until a condition holds; panics with `what` if it takes too long.
+pub async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
+    let end = tokio::time::Instant::now() + WAIT_TIMEOUT;
+    while !condition().await {
+        assert!(tokio::time::Instant::now() < end, "timed out waiting for {what}");
         tokio::time::sleep(time::Duration::from_millis(50)).await;
     }
 }
 
-/// Runs a test on a runtime of its own.
+/// Runs a test on its own runtime with two threads.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("can't build a runtime");
     runtime.block_on(test);
 }
 
-/// Starts a program of this workspace.
+/// Starts a program of this workspace in the background.
 pub fn spawn(name: &str, args: &[&str]) -> Process {
-    let mut command = process::Command::new(bin(name));
+    let mut command = process::Command::new(program_path(name));
     command.args(args).stdin(process::Stdio::null());
     Process(start(&mut command))
 }
 
-/// Starts a process while no port is being tried.
+/// Spawns a process while no port is being probed.
 fn start(command: &mut process::Command) -> process::Child {
-    let _fork = FORK.lock().unwrap_or_else(sync::PoisonError::into_inner);
+    let _guard = SPAWN_LOCK.lock().unwrap_or_else(sync::PoisonError::into_inner);
     command.spawn().unwrap_or_else(|err| panic!("{command:?}: {err}"))
 }
 
-/// Runs a program of this workspace to its end beside the test.
+/// Runs a program of this workspace until it exits, on a blocking thread.
 pub async fn output(name: &str, args: &[&str]) -> process::Output {
-    let mut command = process::Command::new(bin(name));
+    let mut command = process::Command::new(program_path(name));
     command.args(args);
     let run = tokio::task::spawn_blocking(move || command.output());
-    run.await.expect("a thread").expect("a program")
+    run.await.expect("the thread panicked").expect("can't run the program")
 }
 
-/// Returns the path of a program of this workspace.
-pub fn bin(name: &str) -> path::PathBuf {
-    let own = path::Path::new(env!("CARGO_BIN_EXE_wharflane"));
-    own.with_file_name(name)
+/// Returns the path of a program of this workspace, in the folder of the command line's binary.
+pub fn program_path(name: &str) -> path::PathBuf {
+    let cli = path::Path::new(env!("CARGO_BIN_EXE_wharflane"));
+    cli.with_file_name(name)
 }
 
-/// Finds a port that is free now and that no other test is given, of this process or another.
+/// Returns a port that is free now and that no other test gets, in this process or another.
 ///
-/// Ports below those that the system gives to outgoing connections are taken, so that none of
-/// them is in the way when a process opens its port a little later.
+/// The ports are below those that the system uses for outgoing connections, so that no outgoing
+/// connection occupies the port before a process binds it a little later.
 pub fn free_port() -> net::SocketAddr {
-    let _fork = FORK.lock().unwrap_or_else(sync::PoisonError::into_inner);
+    let _guard = SPAWN_LOCK.lock().unwrap_or_else(sync::PoisonError::into_inner);
     loop {
-        let port = OWN_PORTS.next.fetch_add(1, sync::atomic::Ordering::Relaxed);
-        assert!(!port.is_multiple_of(PORTS), "no port of this process is left");
+        let port = PORT_BLOCK.next.fetch_add(1, sync::atomic::Ordering::Relaxed);
+        assert!(
+            !port.is_multiple_of(PORTS_PER_PROCESS),
+            "this process has used all its reserved ports"
+        );
         let addr = net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, port));
         if net::TcpListener::bind(addr).is_ok() {
             return addr;
--- a/crates/cli/tests/processes/jobs.rs
+++ b/crates/cli/tests/processes/jobs.rs
@@ -1,4 +1,5 @@
-//! The job service with hosts as separate processes, over the platform's protocol.
+//! The job service with hosts as separate processes, which reach the stand-in platform over its
+//! protocol.
 
 use std::fs;
 use std::net;
@@ -13,70 +14,72 @@
 use crate::fleet;
 
 cases! {
-    jobs_handed_in_run_to_their_end => fleet::run(whole_path()),
+    submitted_jobs_complete => fleet::run(completed_jobs()),
     jobs_end_once_when_holders_are_killed => fleet::run(killed_holders()),
     jobs_are_kept_when_all_hosts_die_after_the_answer => fleet::run(all_killed()),
     a_submission_whose_write_had_no_answer_is_one_job => fleet::run(lost_answers()),
-    a_busy_store_means_not_taken_and_when_to_come_back => fleet::run(busy_store()),
-    a_silent_store_means_not_known_within_half_of_the_callers_time => fleet::run(silent_store()),
-    a_bad_job_is_refused_with_a_reason_and_nothing_is_kept => fleet::run(bad_jobs()),
+    a_busy_store_refuses_submissions_with_retry_after => fleet::run(busy_store()),
+    a_silent_store_gives_an_unknown_outcome_in_half_of_the_deadline => fleet::run(silent_store()),
+    an_invalid_job_is_refused_with_a_reason_and_not_stored => fleet::run(invalid_jobs()),
     a_cancelled_job_stops => fleet::run(cancelled()),
-    a_submission_in_doubt_is_read_back => fleet::run(read_back()),
+    a_submission_with_unknown_outcome_is_read_back => fleet::run(read_back()),
     a_host_that_lost_the_store_refuses_at_once => fleet::run(store_lost()),
     jobs_end_once_on_workers_that_restart_under_their_id => fleet::run(restarted_workers()),
-    jobs_that_want_advice_run_only_where_they_may => fleet::run(advised()),
-    a_count_without_a_living_writer_is_not_told => fleet::run(frozen_writer()),
-    all_who_ask_for_a_count_behind_a_silent_store_are_answered => fleet::run(many_askers()),
-    callers_of_a_busy_store_are_sent_off_for_different_times => fleet::run(spread()),
-    a_write_in_doubt_stays_so_when_the_store_turns_the_next_away => fleet::run(doubt_stays()),
-    a_hang_up_ends_nothing => fleet::run(hang_up()),
-    the_command_line_hands_in_and_follows_jobs => fleet::run(command_line()),
+    jobs_of_a_queue_with_an_advisor_run_only_on_allowed_workers => fleet::run(with_advisor()),
+    a_count_without_a_running_writer_is_not_reported => fleet::run(frozen_writer()),
+    callers_asking_for_a_count_are_answered_while_the_store_is_silent => fleet::run(many_callers()),
+    callers_of_a_busy_store_get_different_retry_after_times => fleet::run(spread_retry_after()),
+    a_write_in_doubt_stays_in_doubt_when_the_store_rejects_the_next => fleet::run(stays_in_doubt()),
+    sighup_does_not_stop_a_host => fleet::run(sighup()),
+    the_command_line_submits_and_follows_jobs => fleet::run(command_line()),
 }
 
-/// How long a call may take.
+/// Limit of one call by a test's client.
 const TIMEOUT: time::Duration = time::Duration::from_secs(5);
-/// How long a task's work takes.
-const WORK: time::Duration = time::Duration::from_millis(300);
+/// Run time of a task.
+const TASK_TIME: time::Duration = time::Duration::from_millis(300);
 
-/// How long a lease must stand unchanged until a host takes it.
+/// Time after which hosts take over a lease that has not been renewed.
 const LEASE_MS: u64 = 1_500;
-/// The same for a host that is to take none while a test runs.
-const LEASE_OF_A_WATCHER_MS: u64 = 60_000;
-/// How old a count may be that a caller is told.
-const COUNT_AGE: time::Duration = time::Duration::from_secs(2);
-
-/// Hosts that run the job service on one platform.
-pub(crate) struct Service {
-    /// The platform.
+/// Lease time of a host that must not take over while a test runs.
+const STANDBY_LEASE_MS: u64 = 60_000;
+/// Maximum age of a count of waiting jobs that hosts report to callers.
+const MAX_COUNT_AGE: time::Duration = time::Duration::from_secs(2);
+
+/// Hosts of the job service on one platform.
+pub(crate) struct JobService {
+    /// Stand-ins of the platform, with three workers.
     pub(crate) platform: server::Platform,
-    /// The hosts, with where callers reach each.
+    /// Process and callers' port of each host.
     hosts: Vec<(fleet::Process, net::SocketAddr)>,
-    /// Where operators reach each.
+    /// Operators' port of each host.
     pub(crate) operators: Vec<net::SocketAddr>,
-    /// Where settings lie.
+    /// Folder of settings and job files, removed on drop.
     folder: tempfile::TempDir,
 }
 
-impl Service {
-    /// Starts a platform with three workers, and hosts.
+impl JobService {
+    /// Starts a platform with three workers, and hosts; waits until every host answers.
     pub(crate) async fn start(hosts: usize) -> Self {
-        let platform = server::Platform::start(3, WORK).await.expect("a platform");
-        let folder = tempfile::tempdir().expect("a folder");
+        let platform =
+            server::Platform::start(3, TASK_TIME).await.expect("can't start the platform");
+        let folder = tempfile::tempdir().expect("can't create a folder");
         let mut service = Self { platform, hosts: Vec::new(), operators: Vec::new(), folder };
         (0..hosts).for_each(|_| service.add_host(LEASE_MS));
         for host in 0..hosts {
-            service.until_answers(host).await;
+            service.wait_until_ready(host).await;
         }
         service
     }
 
-    /// Waits until a host has a configuration.
-    async fn until_answers(&self, host: usize) {
+    /// Waits until a host has a configuration and answers callers.
+    async fn wait_until_ready(&self, host: usize) {
         let jobs = self.jobs(host);
-        fleet::until("an answer", async || jobs.waiting(server::QUEUE).await.is_ok()).await;
+        fleet::wait_until("the host to answer", async || jobs.waiting(server::QUEUE).await.is_ok())
+            .await;
     }
 
-    /// Starts one more host, which takes a lease that stood unchanged for so long.
+    /// Starts another host, which takes over a lease that was not renewed for `lease_ms`.
     fn add_host(&mut self, lease_ms: u64) {
         let [caller, operator, peer] = [fleet::free_port(), fleet::free_port(), fleet::free_port()];
         self.operators.push(operator);
@@ -88,29 +91,29 @@
              lease_ms = {lease_ms}\n[log]\nlevel = \"warn\"\n"
         );
         let path = self.folder.path().join(format!("{name}.toml"));
-        fs::write(&path, text).expect("settings written");
+        fs::write(&path, text).expect("can't write the settings");
         let path = path.display().to_string();
         self.hosts.push((fleet::spawn("wharflaned", &["--config", &path]), caller));
     }
 
-    /// Kills a host.
+    /// Kills a host by its index.
     pub(crate) fn kill(&mut self, host: usize) {
         self.hosts[host].0.kill();
     }
 
-    /// Returns a client of one of the hosts.
+    /// Returns a job client of a host.
     pub(crate) fn jobs(&self, host: usize) -> caller::Jobs {
         caller::Jobs::new(self.hosts[host].1, TIMEOUT)
     }
 
-    /// Hands a job of two steps in and lets the judge know of it.
+    /// Submits a job of two steps until it is accepted, and registers it with the judge.
     pub(crate) async fn submit(&self, host: usize, id: u64) -> job::JobId {
         let id = job::JobId(id);
-        self.note(id, two_steps());
-        // A caller that is told that nothing is known asks again, as it is told to.
-        fleet::until("the job accepted", async || {
+        self.register(id, two_steps());
+        // The outcome of a call with status 504 is unknown; the caller submits the job again.
+        fleet::wait_until("the job to be accepted", async || {
             match self.jobs(host).submit(server::QUEUE, id, &two_steps()).await {
-                Ok(told) => told == caller::JobReply::Accepted,
+                Ok(reply) => reply == caller::JobReply::Accepted,
                 Err(caller::JobError::Refused { status: 504, .. }) => false,
                 Err(err) => panic!("{err}"),
             }
@@ -119,8 +122,8 @@
         id
     }
 
-    /// Lets the judge know of a job.
-    fn note(&self, id: job::JobId, submission: caller::Submission) {
+    /// Registers a job with the judge, which checks its starts and ends.
+    fn register(&self, id: job::JobId, submission: caller::Submission) {
         let job = job::Job {
             queue: server::QUEUE.to_owned(),
             service: "service".into(),
@@ -131,25 +134,25 @@
         self.platform.lock().judge.jobs.insert(id, job);
     }
 
-    /// Waits until a job is told to have come to a phase.
-    pub(crate) async fn until(&self, host: usize, id: job::JobId, phase: job::Phase) {
+    /// Waits until a host reports a phase of a job.
+    pub(crate) async fn wait_for_phase(&self, host: usize, id: job::JobId, phase: job::Phase) {
         let jobs = self.jobs(host);
-        fleet::until("the phase", async || {
-            let told = jobs.state(server::QUEUE, id).await;
-            matches!(told, Ok(caller::JobReply::State(found)) if found == phase)
+        fleet::wait_until("the phase of the job", async || {
+            let reply = jobs.state(server::QUEUE, id).await;
+            matches!(reply, Ok(caller::JobReply::State(found)) if found == phase)
         })
         .await;
     }
 
-    /// Checks that nothing was broken and that so many tasks were started.
-    pub(crate) fn judge(&self, starts: u64) {
+    /// Checks that the judge found no breach and counted the given number of task starts.
+    pub(crate) fn check_breaches_and_starts(&self, starts: u64) {
         let state = self.platform.lock();
         assert_eq!(state.judge.breaches, Vec::new());
         assert_eq!(state.judge.starts, starts);
     }
 }
 
-/// Returns a job of two steps with five tasks.
+/// Returns a job of two dependent steps, with three and two tasks.
 fn two_steps() -> caller::Submission {
     let size = size::Size { cpu_milli: 300, mem_mb: 100, accelerators: 0 };
     let first = job::Step { count: 3, size, ..job::Step::default() };
@@ -157,156 +160,160 @@
     caller::Submission { spec: "spec".to_owned(), steps: vec![first, second], repeats: None }
 }
 
-/// Hands jobs in at both hosts and sees them completed at both.
-async fn whole_path() {
-    let service = Service::start(2).await;
+/// Jobs submitted at either host are reported as completed by both.
+async fn completed_jobs() {
+    let service = JobService::start(2).await;
     for id in 1..=6 {
         service.submit(usize::from(id % 2 == 0), id).await;
     }
     for id in 1..=6 {
-        service.until(0, job::JobId(id), job::Phase::Completed).await;
-        service.until(1, job::JobId(id), job::Phase::Completed).await;
+        service.wait_for_phase(0, job::JobId(id), job::Phase::Completed).await;
+        service.wait_for_phase(1, job::JobId(id), job::Phase::Completed).await;
     }
-    let told = service.jobs(0).waiting(server::QUEUE).await.expect("an answer");
-    assert_eq!(told, caller::JobReply::Waiting(0));
-    service.judge(30);
+    let reply = service.jobs(0).waiting(server::QUEUE).await.expect("no answer");
+    assert_eq!(reply, caller::JobReply::Waiting(0));
+    service.check_breaches_and_starts(30);
 }
 
-/// Hands jobs in, restarts each worker under its id, and hands jobs in again: ends of the new incarnations are numbered like those
-/// of the incarnations before, and what they tell is news.
+/// Restarts each worker under its id between two groups of jobs. The new incarnations number ended
+/// runs like the previous ones did; the holder must not take their reports for known ones.
 async fn restarted_workers() {
-    /// The workers of the platform.
+    /// Number of workers of the platform.
     const WORKERS: usize = 3;
-    let service = Service::start(2).await;
+    let service = JobService::start(2).await;
     for id in 1..=3 {
         service.submit(0, id).await;
-        service.until(0, job::JobId(id), job::Phase::Completed).await;
+        service.wait_for_phase(0, job::JobId(id), job::Phase::Completed).await;
     }
     (0..WORKERS).for_each(|at| service.platform.restart_worker(at));
     for id in 4..=6 {
         service.submit(1, id).await;
-        service.until(1, job::JobId(id), job::Phase::Completed).await;
+        service.wait_for_phase(1, job::JobId(id), job::Phase::Completed).await;
     }
-    service.judge(30);
+    service.check_breaches_and_starts(30);
 }
 
-/// Hands jobs in to a queue whose tasks only some workers may run.
-async fn advised() {
-    let service = Service::start(2).await;
+/// Runs jobs of a queue that asks an advisor which workers may run its tasks.
+async fn with_advisor() {
+    let service = JobService::start(2).await;
     service.platform.lock().advice = true;
     service.platform.configure(2);
     for id in 1..=3 {
         service.submit(0, id).await;
     }
     for id in 1..=3 {
-        service.until(1, job::JobId(id), job::Phase::Completed).await;
+        service.wait_for_phase(1, job::JobId(id), job::Phase::Completed).await;
     }
-    assert!(service.platform.lock().questions > 0, "the service was asked");
-    service.judge(15);
+    assert!(service.platform.lock().questions > 0, "the advisor was not asked");
+    service.check_breaches_and_starts(15);
 }
 
-/// Hands a job in once the store has been silent for longer than a moment, and once it is back.
+/// A host refuses a submission after the store was silent for 3.5 s, and accepts it once the store
+/// is back.
 async fn store_lost() {
-    let service = Service::start(1).await;
+    let service = JobService::start(1).await;
     service.platform.lock().faults.store_silent = true;
-    // A feed that was open before goes on for 1.5 s.
+    // A feed that was open before stays open for 1.5 s.
     tokio::time::sleep(time::Duration::from_millis(3_500)).await;
-    let told = service.jobs(0).submit(server::QUEUE, job::JobId(1), &two_steps()).await;
-    let refused = matches!(told, Err(caller::JobError::Refused { status: 503, .. }));
-    assert!(refused, "{told:?}");
+    let reply = service.jobs(0).submit(server::QUEUE, job::JobId(1), &two_steps()).await;
+    let refused = matches!(reply, Err(caller::JobError::Refused { status: 503, .. }));
+    assert!(refused, "{reply:?}");
     service.platform.lock().faults.store_silent = false;
-    fleet::until("the store found again", async || {
-        let told = service.jobs(0).submit(server::QUEUE, job::JobId(1), &two_steps()).await;
-        matches!(told, Ok(caller::JobReply::Accepted))
+    fleet::wait_until("a submission to be accepted again", async || {
+        let reply = service.jobs(0).submit(server::QUEUE, job::JobId(1), &two_steps()).await;
+        matches!(reply, Ok(caller::JobReply::Accepted))
     })
     .await;
 }
 
-/// Loses the answers to all writes: the row tells that a submission stands.
+/// Loses the answers to all writes: the host reads the row back and finds that the submission is
+/// stored.
 async fn read_back() {
-    let service = Service::start(1).await;
+    let service = JobService::start(1).await;
     service.platform.lock().faults.lose_every = 1;
-    let told = service.jobs(0).submit(server::QUEUE, job::JobId(1), &two_steps()).await;
-    assert_eq!(told.expect("an answer"), caller::JobReply::Accepted);
+    let reply = service.jobs(0).submit(server::QUEUE, job::JobId(1), &two_steps()).await;
+    assert_eq!(reply.expect("no answer"), caller::JobReply::Accepted);
 }
 
-/// Kills one host after the other while jobs run.
+/// Kills two of three hosts in turn while jobs run; every job still completes.
 async fn killed_holders() {
-    let mut service = Service::start(3).await;
+    let mut service = JobService::start(3).await;
     for id in 1..=4 {
         service.submit(2, id).await;
     }
     for host in 0..2 {
         service.hosts[host].0.kill();
         service.submit(2, 10 + host as u64).await;
-        tokio::time::sleep(WORK).await;
+        tokio::time::sleep(TASK_TIME).await;
     }
     for id in [1, 2, 3, 4, 10, 11] {
-        service.until(2, job::JobId(id), job::Phase::Completed).await;
+        service.wait_for_phase(2, job::JobId(id), job::Phase::Completed).await;
     }
     let state = service.platform.lock();
     assert_eq!(state.judge.breaches, Vec::new());
 }
 
-/// Kills every host right after an answer, and starts others.
+/// Kills every host right after a job was accepted; a new host completes the job.
 async fn all_killed() {
-    let mut service = Service::start(2).await;
+    let mut service = JobService::start(2).await;
     let id = service.submit(0, 7).await;
     for (process, _) in &mut service.hosts {
         process.kill();
     }
     service.add_host(LEASE_MS);
     let last = service.hosts.len() - 1;
-    service.until_answers(last).await;
-    service.until(last, id, job::Phase::Completed).await;
-    service.judge(5);
+    service.wait_until_ready(last).await;
+    service.wait_for_phase(last, id, job::Phase::Completed).await;
+    service.check_breaches_and_starts(5);
 }
 
-/// Loses the answer of every third transaction, and hands every job in twice.
+/// Loses the answer of every third transaction and submits every job at two hosts: each job runs
+/// once.
 async fn lost_answers() {
-    let service = Service::start(2).await;
+    let service = JobService::start(2).await;
     service.platform.lock().faults.lose_every = 3;
     for id in 1..=4 {
         service.submit(0, id).await;
         service.submit(1, id).await;
     }
     for id in 1..=4 {
-        service.until(0, job::JobId(id), job::Phase::Completed).await;
+        service.wait_for_phase(0, job::JobId(id), job::Phase::Completed).await;
     }
-    service.judge(20);
+    service.check_breaches_and_starts(20);
 }
 
-/// Hands a job in while the store turns every call away.
+/// A submission while the store rejects every call is refused with 503, and nothing is stored.
 async fn busy_store() {
-    let service = Service::start(1).await;
+    let service = JobService::start(1).await;
     service.platform.lock().faults.store_busy = true;
-    let told = service.jobs(0).submit(server::QUEUE, job::JobId(1), &two_steps()).await;
-    let refused = matches!(told, Err(caller::JobError::Refused { status: 503, .. }));
-    assert!(refused, "{told:?}");
+    let reply = service.jobs(0).submit(server::QUEUE, job::JobId(1), &two_steps()).await;
+    let refused = matches!(reply, Err(caller::JobError::Refused { status: 503, .. }));
+    assert!(refused, "{reply:?}");
     service.platform.lock().faults.store_busy = false;
-    let told = service.jobs(0).state(server::QUEUE, job::JobId(1)).await;
-    let gone = matches!(told, Err(caller::JobError::Refused { status: 410, .. }));
-    assert!(gone, "{told:?}");
-    service.judge(0);
+    let reply = service.jobs(0).state(server::QUEUE, job::JobId(1)).await;
+    let gone = matches!(reply, Err(caller::JobError::Refused { status: 410, .. }));
+    assert!(gone, "{reply:?}");
+    service.check_breaches_and_starts(0);
 }
 
-/// Hands a job in while the store takes calls and never answers.
+/// A submission while the store never answers gets 504, an unknown outcome, within half of the
+/// caller's deadline.
 ///
-/// The host's own time for a caller that names none is 3 s: it tells that nothing is known by one
-/// and a half, long before the client's own 5 s.
+/// A host assumes a deadline of 3 s for a caller that sends none, so it replies after 1.5 s, before
+/// the client's limit of 2 s and long before the 5 s of the other tests.
 async fn silent_store() {
-    let service = Service::start(1).await;
+    let service = JobService::start(1).await;
     service.platform.lock().faults.store_silent = true;
     let client = caller::Jobs::new(service.hosts[0].1, time::Duration::from_secs(2));
-    let told = client.submit(server::QUEUE, job::JobId(1), &two_steps()).await;
-    let unknown = matches!(told, Err(caller::JobError::Refused { status: 504, .. }));
-    assert!(unknown, "{told:?}");
-    service.judge(0);
+    let reply = client.submit(server::QUEUE, job::JobId(1), &two_steps()).await;
+    let unknown = matches!(reply, Err(caller::JobError::Refused { status: 504, .. }));
+    assert!(unknown, "{reply:?}");
+    service.check_breaches_and_starts(0);
 }
 
-/// Hands in jobs that can't be taken.
-async fn bad_jobs() {
-    let service = Service::start(1).await;
+/// Submits invalid jobs and one to an unknown queue: each is refused with its reason.
+async fn invalid_jobs() {
+    let service = JobService::start(1).await;
     let mut empty = two_steps();
     empty.steps.clear();
     let mut backwards = two_steps();
@@ -315,7 +322,7 @@
     long.spec = "x".repeat(job::MAX_SPEC_BYTES + 1);
     let mut wide = two_steps();
     wide.steps[0].count = u32::MAX;
-    for (id, (bad, why)) in [
+    for (id, (submission, reason)) in [
         (empty, "at least one step"),
         (backwards, "not an earlier one"),
         (long, "bytes long"),
@@ -325,187 +332,199 @@
     .enumerate()
     {
         let id = job::JobId(id as u64);
-        let told = service.jobs(0).submit(server::QUEUE, id, &bad).await;
-        let Err(caller::JobError::Refused { status: 400, title }) = told else {
-            panic!("{told:?}");
+        let reply = service.jobs(0).submit(server::QUEUE, id, &submission).await;
+        let Err(caller::JobError::Refused { status: 400, title }) = reply else {
+            panic!("{reply:?}");
         };
-        assert!(title.contains(why), "{title}");
+        assert!(title.contains(reason), "{title}");
         let state = service.jobs(0).state(server::QUEUE, id).await;
         assert!(matches!(state, Err(caller::JobError::Refused { status: 410, .. })), "{state:?}");
     }
-    let told = service.jobs(0).submit("nowhere", job::JobId(9), &two_steps()).await;
-    assert!(matches!(told, Err(caller::JobError::Refused { status: 404, .. })), "{told:?}");
+    let reply = service.jobs(0).submit("nowhere", job::JobId(9), &two_steps()).await;
+    assert!(matches!(reply, Err(caller::JobError::Refused { status: 404, .. })), "{reply:?}");
 }
 
-/// Cancels a job that lasts.
+/// Cancels a job of long-running tasks: all of them stop.
 async fn cancelled() {
-    let service = Service::start(2).await;
-    let mut lasting = two_steps();
-    lasting.steps.truncate(1);
-    lasting.steps[0].lasting = true;
+    let service = JobService::start(2).await;
+    let mut long_running = two_steps();
+    long_running.steps.truncate(1);
+    long_running.steps[0].lasting = true;
     let id = job::JobId(3);
-    service.note(id, lasting.clone());
-    let told = service.jobs(0).submit(server::QUEUE, id, &lasting).await.expect("an answer");
-    assert_eq!(told, caller::JobReply::Accepted);
+    service.register(id, long_running.clone());
+    let reply = service.jobs(0).submit(server::QUEUE, id, &long_running).await.expect("no answer");
+    assert_eq!(reply, caller::JobReply::Accepted);
     let running = async || {
         let state = service.platform.lock();
         state.workers.iter().map(|worker| worker.running().count()).sum::<usize>()
     };
-    fleet::until("three at work", async || running().await == 3).await;
-    let told = service.jobs(1).cancel(server::QUEUE, id).await.expect("an answer");
-    assert_eq!(told, caller::JobReply::Cancelled);
-    fleet::until("none at work", async || running().await == 0).await;
-    service.until(0, id, job::Phase::Cancelled).await;
-    service.judge(3);
+    fleet::wait_until("three running tasks", async || running().await == 3).await;
+    let reply = service.jobs(1).cancel(server::QUEUE, id).await.expect("no answer");
+    assert_eq!(reply, caller::JobReply::Cancelled);
+    fleet::wait_until("no running task", async || running().await == 0).await;
+    service.wait_for_phase(0, id, job::Phase::Cancelled).await;
+    service.check_breaches_and_starts(3);
 }
 
-/// Freezes the holder, hands a job in at another host, and asks there how many wait once every count of the
-/// holder is older than callers are promised.
+/// Freezes the holder, submits a job at another host, and reads the count there once every count by
+/// the holder is older than the maximum age.
 ///
-/// Callers were told that no job waits while seven had waited for 5 s. The holder's host had become several
-/// times slower, and accepted jobs stood in an ever longer queue of events before the holder. The cause: every
-/// host believed the row of counts however old it was and however far its writer lagged, since nothing in
-/// the row told how old the truth behind it is. What proved it is the trace of that day: commits 1 to 2 s
-/// apart, and the count of 0 in force while jobs waited. A frozen holder is the same case without chance.
+/// Guards against outdated counts: callers once got a count of 0 while seven jobs had waited for
+/// 5 s. The holder had become several times slower, with commits 1 to 2 s apart, and accepted jobs
+/// queued up before it. Hosts trusted the row of counts whatever its age and however far its writer
+/// lagged, since the row did not say how recent the state behind it was. A frozen holder reproduces
+/// this deterministically.
 async fn frozen_writer() {
-    let mut service = Service::start(1).await;
-    service.add_host(LEASE_OF_A_WATCHER_MS);
-    service.until_answers(1).await;
+    let mut service = JobService::start(1).await;
+    service.add_host(STANDBY_LEASE_MS);
+    service.wait_until_ready(1).await;
     service.hosts[0].0.signal("-STOP");
     let id = service.submit(1, 9).await;
-    tokio::time::sleep(2 * COUNT_AGE).await;
-    let told = service.jobs(1).waiting(server::QUEUE).await;
-    let known = matches!(&told, Ok(caller::JobReply::Waiting(1)));
-    let not_known = matches!(&told, Err(caller::JobError::Refused { status: 503, .. }));
-    assert!(known || not_known, "{told:?}");
+    tokio::time::sleep(2 * MAX_COUNT_AGE).await;
+    let reply = service.jobs(1).waiting(server::QUEUE).await;
+    let known = matches!(&reply, Ok(caller::JobReply::Waiting(1)));
+    let not_known = matches!(&reply, Err(caller::JobError::Refused { status: 503, .. }));
+    assert!(known || not_known, "{reply:?}");
     service.hosts[0].0.signal("-CONT");
-    service.until(1, id, job::Phase::Completed).await;
+    service.wait_for_phase(1, id, job::Phase::Completed).await;
     let jobs = service.jobs(1);
-    fleet::until("a count", async || {
+    fleet::wait_until("a count of no waiting jobs", async || {
         matches!(jobs.waiting(server::QUEUE).await, Ok(caller::JobReply::Waiting(0)))
     })
     .await;
-    service.judge(5);
+    service.check_breaches_and_starts(5);
 }
 
-/// Lets many callers ask at once how many jobs wait while the store takes calls and never answers.
+/// Many callers ask for the count of waiting jobs while the store never answers: all are refused in
+/// time.
 ///
-/// A read of the store is given up after 0.8 s. One read after the other would take longer than the callers'
-/// 5 s, and the host's own time for a caller that names none is 3 s.
-async fn many_askers() {
-    /// More than there are reads in a caller's time.
-    const ASKERS: usize = 12;
-    let service = Service::start(1).await;
+/// A read of the store times out after 0.8 s. One read after the other for each caller would exceed
+/// the callers' limit of 5 s; a host assumes a deadline of 3 s for a caller that sends none.
+async fn many_callers() {
+    /// More callers than there are reads within a caller's limit.
+    const CALLERS: usize = 12;
+    let service = JobService::start(1).await;
     service.platform.lock().faults.store_silent = true;
-    // What was read before may be told for as long as a count may be old.
-    tokio::time::sleep(COUNT_AGE).await;
-    let mut askers = tokio::task::JoinSet::new();
-    for _ in 0..ASKERS {
+    // A count read earlier may be reported until it reaches its maximum age.
+    tokio::time::sleep(MAX_COUNT_AGE).await;
+    let mut calls = tokio::task::JoinSet::new();
+    for _ in 0..CALLERS {
         let jobs = service.jobs(0);
-        askers.spawn(async move { jobs.waiting(server::QUEUE).await });
+        calls.spawn(async move { jobs.waiting(server::QUEUE).await });
     }
-    for told in askers.join_all().await {
-        let refused = matches!(&told, Err(caller::JobError::Refused { status: 503, .. }));
-        assert!(refused, "{told:?}");
+    for reply in calls.join_all().await {
+        let refused = matches!(&reply, Err(caller::JobError::Refused { status: 503, .. }));
+        assert!(refused, "{reply:?}");
     }
 }
 
-/// Hands a job in with so much time, and returns the status and for how many seconds the caller is sent off.
-async fn sent_off(host: net::SocketAddr, id: u64, patience_ms: u64) -> (u16, u64) {
-    let body = serde_json::to_string(&two_steps()).expect("a body");
+/// Submits a job with a deadline and returns the status and the `retry-after` header in seconds.
+async fn submit_with_deadline(host: net::SocketAddr, id: u64, deadline_ms: u64) -> (u16, u64) {
+    let body = serde_json::to_string(&two_steps()).expect("can't encode the job");
     let request = format!(
-        "POST /jobs/{}/{} HTTP/1.1\r\nhost: host\r\nconnection: close\r\n{}: {patience_ms}\r\n\
+        "POST /jobs/{}/{} HTTP/1.1\r\nhost: host\r\nconnection: close\r\n{}: {deadline_ms}\r\n\
          content-length: {}\r\n\r\n{body}",
         server::QUEUE,
         job::JobId(id),
         server::DEADLINE_HEADER,
         body.len()
     );
-    let mut stream = tokio::net::TcpStream::connect(host).await.expect("a connection");
-    stream.write_all(request.as_bytes()).await.expect("a request sent");
+    let mut stream = tokio::net::TcpStream::connect(host).await.expect("can't connect");
+    stream.write_all(request.as_bytes()).await.expect("can't send the request");
     let mut text = String::new();
-    stream.read_to_string(&mut text).await.expect("an answer");
+    stream.read_to_string(&mut text).await.expect("can't read the response");
     let status = text.split(' ').nth(1).and_then(|status| status.parse().ok());
     let after =
         text.lines().find_map(|line| line.strip_prefix("retry-after: ")?.trim().parse().ok());
-    (status.expect("a status"), after.expect("when to come back"))
+    (status.expect("no status"), after.expect("no retry-after"))
 }
 
-/// Hands jobs in while the store turns every call away, until callers are sent off for each time that there is.
-async fn spread() {
-    /// The longest time, in seconds.
-    const MOST: u64 = 3;
-    /// What a patient caller allows, and one whose time would be over by the longest.
-    const PATIENT_MS: u64 = 10_000;
-    const HURRIED_MS: u64 = 3_000;
-    let service = Service::start(1).await;
+/// Submits jobs while the store rejects every call, until each possible `retry-after` was returned.
+///
+/// Callers with a short deadline must not get the longest one, which would end after it.
+async fn spread_retry_after() {
+    /// Longest `retry-after`, in seconds.
+    const MAX_RETRY_AFTER_S: u64 = 3;
+    /// Deadline of a caller with time to spare, and of one that would miss it after the longest
+    /// `retry-after`.
+    const LONG_DEADLINE_MS: u64 = 10_000;
+    const SHORT_DEADLINE_MS: u64 = 3_000;
+    let service = JobService::start(1).await;
     let host = service.hosts[0].1;
     service.platform.lock().faults.store_busy = true;
-    let mut told = [0_u64; MOST as usize];
+    let mut returned = [0_u64; MAX_RETRY_AFTER_S as usize];
     let mut id = 0;
-    fleet::until("every time told", async || {
+    fleet::wait_until("every retry-after to be returned", async || {
         id += 1;
-        let (status, after) = sent_off(host, id, PATIENT_MS).await;
+        let (status, after) = submit_with_deadline(host, id, LONG_DEADLINE_MS).await;
         assert_eq!(status, 503);
-        assert!((1..=MOST).contains(&after), "{after} s");
-        told[usize::try_from(after - 1).expect("small")] += 1;
-        let (status, after) = sent_off(host, id, HURRIED_MS).await;
+        assert!((1..=MAX_RETRY_AFTER_S).contains(&after), "retry-after of {after} s");
+        returned[usize::try_from(after - 1).expect("the index fits")] += 1;
+        let (status, after) = submit_with_deadline(host, id, SHORT_DEADLINE_MS).await;
         assert_eq!(status, 503);
-        assert!((1..MOST).contains(&after), "{after} s of {HURRIED_MS} ms");
-        told.iter().all(|count| *count > 0)
+        assert!(
+            (1..MAX_RETRY_AFTER_S).contains(&after),
+            "retry-after of {after} s within {SHORT_DEADLINE_MS} ms"
+        );
+        returned.iter().all(|count| *count > 0)
     })
     .await;
     service.platform.lock().faults.store_busy = false;
     let state = service.jobs(0).state(server::QUEUE, job::JobId(id)).await;
     assert!(matches!(state, Err(caller::JobError::Refused { status: 410, .. })), "{state:?}");
-    service.judge(0);
+    service.check_breaches_and_starts(0);
 }
 
-/// Hands a job in while the store is silent, and lets the store turn calls away once it has the write.
-async fn doubt_stays() {
-    let mut service = Service::start(1).await;
-    service.add_host(LEASE_OF_A_WATCHER_MS);
-    service.until_answers(1).await;
-    // The holder writes too, and only submissions are to be seen.
+/// Submits a job while the store is silent, and lets the store reject calls once it has received
+/// the write. The rejection of a later call does not prove that the first write failed, so the
+/// outcome stays unknown.
+async fn stays_in_doubt() {
+    let mut service = JobService::start(1).await;
+    service.add_host(STANDBY_LEASE_MS);
+    service.wait_until_ready(1).await;
+    // The holder writes too; freeze it, so that only the submission is counted.
     service.hosts[0].0.signal("-STOP");
-    tokio::time::sleep(WORK).await;
+    tokio::time::sleep(TASK_TIME).await;
     service.platform.lock().faults.store_silent = true;
     let before = service.platform.lock().unanswered;
     let jobs = service.jobs(1);
     let submission = two_steps();
     let submit = jobs.submit(server::QUEUE, job::JobId(1), &submission);
-    let turn_away = async {
-        fleet::until("the write", async || service.platform.lock().unanswered > before).await;
+    let reject_calls = async {
+        fleet::wait_until("the write to reach the store", async || {
+            service.platform.lock().unanswered > before
+        })
+        .await;
         let mut state = service.platform.lock();
         state.faults.store_busy = true;
         state.faults.store_silent = false;
     };
-    let (told, ()) = tokio::join!(submit, turn_away);
-    let unknown = matches!(told, Err(caller::JobError::Refused { status: 504, .. }));
-    assert!(unknown, "{told:?}");
+    let (reply, ()) = tokio::join!(submit, reject_calls);
+    let unknown = matches!(reply, Err(caller::JobError::Refused { status: 504, .. }));
+    assert!(unknown, "{reply:?}");
     service.hosts[0].0.signal("-CONT");
 }
 
-/// Sends hang-ups to a host while it runs jobs.
-async fn hang_up() {
-    let service = Service::start(1).await;
+/// A host that receives SIGHUP while it runs jobs continues to run.
+async fn sighup() {
+    let service = JobService::start(1).await;
     let id = service.submit(0, 8).await;
     for _ in 0..3 {
         service.hosts[0].0.signal("-HUP");
     }
-    service.until(0, id, job::Phase::Completed).await;
-    service.judge(5);
+    service.wait_for_phase(0, id, job::Phase::Completed).await;
+    service.check_breaches_and_starts(5);
 }
 
-/// Runs the command line against a host.
+/// Submits, follows, counts and cancels a job with `wharflane job`.
 async fn command_line() {
-    let service = Service::start(1).await;
+    let service = JobService::start(1).await;
     let path = service.folder.path().join("job.toml");
     let text = "spec = \"spec\"\n[[steps]]\ncount = 2\n\
                 size = { cpu_milli = 300, mem_mb = 100, accelerators = 0 }\n";
-    fs::write(&path, text).expect("a job file");
-    let submission: caller::Submission = toml::from_str(text).expect("a job");
-    service.note(job::JobId(5), submission);
+    fs::write(&path, text).expect("can't write the job file");
+    let submission: caller::Submission = toml::from_str(text).expect("can't parse the job");
+    service.register(job::JobId(5), submission);
     let (host, file) = (service.hosts[0].1.to_string(), path.display().to_string());
     let id = "0000000000000005";
     let run = async |args: &[&str]| {
@@ -516,9 +535,9 @@
         String::from_utf8_lossy(&output.stdout).trim().to_owned()
     };
     assert_eq!(run(&["submit", "work", id, &file]).await, "\"accepted\"");
-    service.until(0, job::JobId(5), job::Phase::Completed).await;
+    service.wait_for_phase(0, job::JobId(5), job::Phase::Completed).await;
     assert_eq!(run(&["state", "work", id]).await, "{\"state\":\"completed\"}");
     assert_eq!(run(&["list", "work"]).await, "{\"waiting\":0}");
     assert_eq!(run(&["cancel", "work", id]).await, "\"cancelled\"");
-    service.judge(2);
+    service.check_breaches_and_starts(2);
 }
--- a/crates/cli/tests/processes/main.rs
+++ b/crates/cli/tests/processes/main.rs
@@ -1,10 +1,11 @@
-//! The whole path as separate processes: operator, hosts, platform, workers, endpoints, callers.
+//! End-to-end tests with separate processes on loopback: operator, hosts, platform, workers,
+//! endpoints and callers.
 
 mod closed_halls;
 mod config;
+mod end_to_end;
 mod fleet;
 mod jobs;
 mod kills;
-mod path;
 mod silence;
 mod stops;
--- a/crates/cli/tests/why.rs
+++ b/crates/cli/tests/why.rs
@@ -1,11 +1,11 @@
-//! `wharflane why` on logs of two hosts, of which the first loses the domain.
+//! `wharflane why` on the logs of two hosts, the second of which takes the domain over.
 
 use std::fs;
 use std::process;
 
 use wharflane_stand_in::cases;
 
-/// What two hosts wrote: a job that waits for a new holder, and one that waits for harm.
+/// Logs of two hosts: one job waits for a new holder, one waits because of interference.
 const LOGS: &[&str] = &[
     "\
 -0.1 host-a {\"timestamp\":\"2026-01-01T00:00:00.000000Z\",\"fields\":{\"message\":\"call answered\",\"method\":\"POST\",\"path\":\"/first/00000000000000aa\",\"answer\":\"Accepted\"}}
@@ -27,49 +27,52 @@
 ",
 ];
 
-/// Runs the command on the logs and returns its exit code and what it printed.
+/// Runs the command on the logs; returns its exit code and its standard output.
 fn why(job: &[&str]) -> (Option<i32>, String) {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("can't create a folder");
     let mut command = process::Command::new(env!("CARGO_BIN_EXE_wharflane"));
     command.arg("why").args(job);
     for (at, log) in LOGS.iter().enumerate() {
         let path = folder.path().join(at.to_string());
-        fs::write(&path, log).expect("a log");
+        fs::write(&path, log).expect("can't write a log");
         command.arg("--log").arg(path);
     }
-    let output = command.output().expect("the command runs");
+    let output = command.output().expect("can't run the command");
     (output.status.code(), String::from_utf8_lossy(&output.stdout).into_owned())
 }
 
-/// Returns the cells of a queue's row.
+/// Returns the cells of a queue's row, with an empty one before the first bar.
 fn cells(queue: &str) -> Vec<String> {
     let (_, table) = why(&[]);
-    let row = table.lines().find(|line| line.starts_with(&format!("| {queue} "))).expect("a row");
+    let row = table
+        .lines()
+        .find(|line| line.starts_with(&format!("| {queue} ")))
+        .expect("the queue has no row");
     row.split('|').map(|cell| cell.trim().to_owned()).collect()
 }
 
 cases! {
-    the_lines_of_a_job_are_told_in_order => {
-        let (code, told) = why(&["00000000000000aa"]);
+    the_lines_of_a_job_are_printed_in_order => {
+        let (code, printed) = why(&["00000000000000aa"]);
         assert_eq!(code, Some(0));
-        let lines: Vec<&str> = told.lines().collect();
-        assert_eq!(lines.len(), 6, "{told}");
-        assert!(lines[5].contains("5200 ms") && lines[5].contains("job completed"), "{told}");
+        let lines: Vec<&str> = printed.lines().collect();
+        assert_eq!(lines.len(), 6, "{printed}");
+        assert!(lines[5].contains("5200 ms") && lines[5].contains("job completed"), "{printed}");
     },
-    a_job_that_nobody_knows_is_said_so => {
+    an_unknown_job_has_its_own_exit_code => {
         assert_eq!(why(&["00000000000000dd"]).0, Some(4));
     },
-    time_without_a_holder_is_told_apart => {
+    time_without_a_holder_is_counted_as_takeover => {
         // 5.2 s in all, 1 s of work, 3 s without a holder; the rest is the failed run.
         let cells = cells("/first");
         assert_eq!(cells[6..8], ["5.20", "1.00"], "{cells:?}");
         assert_eq!(cells[11..17], ["3.00", "0.00", "0.00", "0.00", "0.00", "1.20"], "{cells:?}");
     },
-    time_kept_waiting_for_harm_is_told_apart => {
+    waiting_because_of_interference_is_counted_as_harm => {
         let cells = cells("/last");
         assert_eq!(cells[11..17], ["0.00", "0.00", "0.00", "3.00", "0.00", "0.00"], "{cells:?}");
     },
-    submissions_turned_away_are_counted => {
+    refused_submissions_are_counted => {
         let (_, table) = why(&[]);
         assert!(table.contains("submissions turned away: 1"), "{table}");
     },
