--- a/crates/bench/src/ablate.rs
+++ b/crates/bench/src/ablate.rs
@@ -1,142 +1,144 @@
-//! Takes single mechanisms out of a copy of a tree of sources.
+//! Ablation: removes one mechanism at a time from a copy of a source tree.
 //!
-//! A list names one mechanism a line: its name, a file, a text that stands there once, and what stands
-//! in its place, parted by tabs. Lines that begin with `#` are remarks.
+//! A list has one mechanism per line, as four fields separated by tabs: its name, a file, a text
+//! that occurs exactly once in the file, and the replacement. Lines that begin with `#` are
+//! comments.
 
 use std::fs;
 use std::io;
 use std::path;
 use std::process;
 
-use crate::plays;
+use crate::player;
 
-/// A mechanism and the change that takes it out.
+/// A mechanism and the text replacement that disables it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mechanism {
-    /// Its name.
+    /// The name shown in the table.
     pub name: String,
-    /// The file, from the root of the tree.
+    /// The file, relative to the root of the tree.
     pub file: path::PathBuf,
-    /// A text that stands there once.
-    pub from: String,
-    /// What stands in its place without the mechanism.
-    pub to: String,
+    /// The text to replace, which occurs exactly once in the file.
+    pub pattern: String,
+    /// The text that takes its place and disables the mechanism.
+    pub replacement: String,
 }
 
-/// A copy of a tree; its folder goes when it is dropped.
+/// A copy of a source tree in a temporary folder, which is deleted on drop.
 #[derive(Debug)]
-pub struct Copy {
-    /// The tree.
-    pub tree: plays::Tree,
-    /// Keeps the folder.
+pub struct TreeCopy {
+    /// The copied tree.
+    pub tree: player::Tree,
+    /// Deletes the folder on drop.
     _folder: tempfile::TempDir,
 }
 
-/// Why a mechanism could not be taken out.
+/// The reason why a mechanism could not be removed or measured.
 #[derive(Debug, thiserror::Error)]
 pub enum AblateError {
     /// A file could not be read or written.
-    #[error("{path}")]
+    #[error("cannot read or write {path}")]
     Io {
-        /// Which one.
+        /// The file or folder.
         path: path::PathBuf,
-        /// The reason.
+        /// The cause.
         #[source]
         source: io::Error,
     },
-    /// A line of the list has not four fields.
-    #[error("line {line} of {path} has not four fields")]
-    Line {
-        /// The list.
+    /// A line of the list does not have four fields.
+    #[error("line {line} of {path} does not have four tab-separated fields")]
+    MalformedLine {
+        /// The path of the list.
         path: path::PathBuf,
-        /// The line, from one.
+        /// The line number, from one.
         line: usize,
     },
-    /// The text that is to be replaced does not stand once in its file.
-    #[error("{name}: the text stands {times} times in {file}, not once")]
-    NotOnce {
-        /// The mechanism.
+    /// The text to replace does not occur exactly once in its file.
+    #[error("{name}: the text to replace occurs {count} times in {file} instead of once")]
+    NotUnique {
+        /// The name of the mechanism.
         name: String,
-        /// The file.
+        /// The file, relative to the root of the tree.
         file: path::PathBuf,
-        /// How often.
-        times: usize,
+        /// The number of occurrences.
+        count: usize,
     },
     /// A day could not be played.
     #[error(transparent)]
-    Play(#[from] plays::PlayError),
+    Play(#[from] player::PlayError),
 }
 
-/// Reads a list.
+/// Reads a list of mechanisms.
 ///
 /// # Errors
-/// Returns `AblateError` where the list can't be read or a line is malformed.
+/// Returns `AblateError` if the list can't be read or a line is malformed.
 pub fn read(list: &path::Path) -> Result<Vec<Mechanism>, AblateError> {
-    let text = fs::read_to_string(list).map_err(|source| failed(list, source))?;
+    let text = fs::read_to_string(list).map_err(|source| io_error(list, source))?;
     let lines = text.lines().enumerate();
     let lines = lines.filter(|(_, line)| !line.trim().is_empty() && !line.starts_with('#'));
     lines
         .map(|(at, line)| {
             let fields: Vec<&str> = line.split('\t').collect();
-            let &[name, file, from, to] = fields.as_slice() else {
-                return Err(AblateError::Line { path: list.to_owned(), line: at + 1 });
+            let &[name, file, pattern, replacement] = fields.as_slice() else {
+                return Err(AblateError::MalformedLine { path: list.to_owned(), line: at + 1 });
             };
             Ok(Mechanism {
                 name: name.to_owned(),
                 file: file.into(),
-                from: from.to_owned(),
-                to: to.to_owned(),
+                pattern: pattern.to_owned(),
+                replacement: replacement.to_owned(),
             })
         })
         .collect()
 }
 
-impl Copy {
-    /// Copies a tree with all that was built in it, so that only what changes is built again.
+impl TreeCopy {
+    /// Copies a tree with its build output, so that only changed files are built again.
     ///
     /// # Errors
-    /// Returns `AblateError` where the tree can't be copied.
-    pub fn of(whole: &plays::Tree) -> Result<Self, AblateError> {
-        let folder = tempfile::tempdir().map_err(|source| failed(&whole.folder, source))?;
+    /// Returns `AblateError` if the copy can't be started.
+    pub fn of(original: &player::Tree) -> Result<Self, AblateError> {
+        let folder = tempfile::tempdir().map_err(|source| io_error(&original.folder, source))?;
         let copied = process::Command::new("cp")
             .args(["-r", "--preserve=timestamps"])
-            .arg(whole.folder.join("."))
+            .arg(original.folder.join("."))
             .arg(folder.path())
             .status();
-        copied.map_err(|source| failed(&whole.folder, source))?;
-        let tree = plays::Tree { name: whole.name.clone(), folder: folder.path().to_owned() };
+        copied.map_err(|source| io_error(&original.folder, source))?;
+        let tree = player::Tree { name: original.name.clone(), folder: folder.path().to_owned() };
         Ok(Self { tree, _folder: folder })
     }
 
-    /// Takes a mechanism out, and returns the text of its file as it was.
+    /// Removes a mechanism and returns the previous text of its file, for `restore`.
     ///
     /// # Errors
-    /// Returns `AblateError` where the text that is to be replaced does not stand once in the file.
-    pub fn take_out(&mut self, mechanism: &Mechanism) -> Result<String, AblateError> {
+    /// Returns `AblateError` if the file can't be read or written, or if the text to replace does
+    /// not occur exactly once.
+    pub fn remove(&mut self, mechanism: &Mechanism) -> Result<String, AblateError> {
         let file = self.tree.folder.join(&mechanism.file);
-        let text = fs::read_to_string(&file).map_err(|source| failed(&file, source))?;
-        let times = text.matches(&mechanism.from).count();
-        if times != 1 {
+        let text = fs::read_to_string(&file).map_err(|source| io_error(&file, source))?;
+        let count = text.matches(&mechanism.pattern).count();
+        if count != 1 {
             let (name, file) = (mechanism.name.clone(), mechanism.file.clone());
-            return Err(AblateError::NotOnce { name, file, times });
+            return Err(AblateError::NotUnique { name, file, count });
         }
-        let changed = text.replace(&mechanism.from, &mechanism.to);
-        fs::write(&file, changed).map_err(|source| failed(&file, source))?;
+        let changed = text.replace(&mechanism.pattern, &mechanism.replacement);
+        fs::write(&file, changed).map_err(|source| io_error(&file, source))?;
         self.tree.name = format!("without {}", mechanism.name);
         Ok(text)
     }
 
-    /// Puts the text of a mechanism's file back.
+    /// Restores the file of a mechanism from the text that `remove` returned.
     ///
     /// # Errors
-    /// Returns `AblateError` where it can't be written.
-    pub fn put_back(&self, mechanism: &Mechanism, text: &str) -> Result<(), AblateError> {
+    /// Returns `AblateError` if the file can't be written.
+    pub fn restore(&self, mechanism: &Mechanism, text: &str) -> Result<(), AblateError> {
         let file = self.tree.folder.join(&mechanism.file);
-        fs::write(&file, text).map_err(|source| failed(&file, source))
+        fs::write(&file, text).map_err(|source| io_error(&file, source))
     }
 }
 
-/// Returns the error for a path.
-fn failed(path: &path::Path, source: io::Error) -> AblateError {
+/// Returns the error for a failed access to a path.
+fn io_error(path: &path::Path, source: io::Error) -> AblateError {
     AblateError::Io { path: path.to_owned(), source }
 }
--- a/crates/bench/src/capacity/message.rs
+++ b/crates/bench/src/capacity/message.rs
@@ -1,4 +1,4 @@
-//! What a message to a worker costs over HTTP.
+//! The processor time of a message to a worker over HTTP.
 
 use std::time;
 
@@ -7,8 +7,8 @@
 
 use crate::threads;
 
-/// Returns the processor time of one message to a worker over HTTP, in microseconds: the
-/// holder's side and the fake worker's side.
+/// Returns the processor time of one message to a worker over HTTP, in microseconds: first that of
+/// the holder, then that of the stand-in worker.
 ///
 /// # Panics
 /// Panics if a port can't be opened.
@@ -18,32 +18,33 @@
     let worker = threads::runtime("msg-worker", 1);
     let holder = threads::runtime("msg-holder", 1);
     let listener = worker.block_on(threads::bind());
-    let addr = listener.local_addr().expect("its address");
-    let make = worker::Config {
+    let addr = listener.local_addr().expect("the listener has an address");
+    let setup = worker::Config {
         worker: "worker-1".into(),
         capacity: size::Size { cpu_milli: 64_000, mem_mb: 250_000, accelerators: 0 },
         limits: endpoint::Limits::default(),
         endpoint_faults: endpoint::Faults::default(),
         harm_percent: 0,
     };
-    let fake = worker::Server::new(make, 1, history::History::default());
-    worker.spawn(fake.serve(listener));
+    let server = worker::Server::new(setup, 1, history::History::default());
+    worker.spawn(server.serve(listener));
     let client = wharflane_worker::Workers::new(time::Duration::from_secs(5));
     let send = async move {
         for seq in 1..=MESSAGES {
             let _ = client.sync(addr, &full_message(seq)).await;
         }
     };
-    let before = ["msg-holder", "msg-worker"].map(threads::ticks);
-    holder.block_on(async { tokio::spawn(send).await }).expect("messages sent");
-    let after = ["msg-holder", "msg-worker"].map(threads::ticks);
-    let us = |at: usize| (after[at] - before[at]) / threads::TICKS * 1e6 / MESSAGES as f64;
+    let before = ["msg-holder", "msg-worker"].map(threads::cpu_ticks);
+    holder.block_on(async { tokio::spawn(send).await }).expect("all messages are sent");
+    let after = ["msg-holder", "msg-worker"].map(threads::cpu_ticks);
+    let us =
+        |at: usize| (after[at] - before[at]) / threads::TICKS_PER_SECOND * 1e6 / MESSAGES as f64;
     holder.shutdown_background();
     worker.shutdown_background();
     (us(0), us(1))
 }
 
-/// Returns a message that starts fifteen tasks, of which a worker then reports.
+/// Returns a sync message. The first two start fifteen tasks, so that all answers report them.
 fn full_message(seq: u64) -> work::Sync {
     let start = |index| work::Command::Start {
         task: id::TaskId { owner: "night-report".into(), born: 1_700, index },
--- a/crates/bench/src/capacity/texts.rs
+++ b/crates/bench/src/capacity/parsing.rs
@@ -1,33 +1,33 @@
-//! What it costs to read a configuration and the list of workers.
+//! The cost of parsing configurations and worker lists.
 
 use std::collections;
 use std::net;
 
 use wharflane::{desired, id, members};
 
-use crate::capacity::Live;
+use crate::capacity::AllocatedBytes;
 use crate::hall;
 
-/// What a configuration costs.
+/// The cost of parsing a configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigCost {
     /// The number of jobs.
     pub jobs: usize,
-    /// The bytes of its text.
+    /// The size of the text in bytes.
     pub bytes: usize,
-    /// Processor time to read it, in microseconds.
+    /// Processor time of parsing, in microseconds.
     pub cpu_us: f64,
-    /// Memory of what was read.
+    /// Memory of the parsed configuration, in bytes.
     pub memory: usize,
 }
 
-/// Measures a configuration of so many jobs.
+/// Measures a configuration with the given number of jobs.
 ///
 /// # Panics
-/// Panics on a text with faults, which would be a fault of the bench.
+/// Panics if the text is invalid, which would be a bug in this crate.
 #[must_use]
-pub fn config(jobs: usize, live: Live) -> ConfigCost {
-    let mut text = hall::filled(10, 0);
+pub fn config(jobs: usize, allocated: AllocatedBytes) -> ConfigCost {
+    let mut text = hall::full_config(10, 0);
     for number in 0..jobs {
         text.push_str(&format!(
             "[[job]]\nname = \"job-{number}\"\nteam = \"ours\"\nclass = \"p1\"\n\
@@ -35,21 +35,22 @@
              run_time_ms = 600000\ncheckpoint = true\n"
         ));
     }
-    let before = live();
+    let before = allocated();
     let start = cpu_time::ThreadTime::now();
-    let desired = desired::parse(&text).expect("the bench's own text");
+    let desired = desired::parse(&text).expect("built-in desired state is valid");
     let cpu_us = start.elapsed().as_micros() as f64;
-    let memory = live().saturating_sub(before);
+    let memory = allocated().saturating_sub(before);
     drop(desired);
     ConfigCost { jobs, bytes: text.len(), cpu_us, memory }
 }
 
-/// Returns the processor time to read a list of so many workers, in microseconds, and its bytes.
+/// Returns the processor time of parsing a list of workers, in microseconds, and the size of the
+/// list in bytes.
 ///
 /// # Panics
 /// Panics if the list can't be encoded, which its types exclude.
 #[must_use]
-pub fn list(workers: usize) -> (f64, usize) {
+pub fn worker_list(workers: usize) -> (f64, usize) {
     let member = |number: usize| {
         let worker = members::Worker {
             addr: net::SocketAddr::from(([10, 20, 30, 40], 8_080)),
@@ -61,15 +62,15 @@
     };
     let list =
         members::Members { workers: (0..workers).map(member).collect(), ..Default::default() };
-    let text = serde_json::to_string(&list).expect("a list");
+    let text = serde_json::to_string(&list).expect("the list is encoded");
     let start = cpu_time::ThreadTime::now();
-    let read: members::Members = serde_json::from_str(&text).expect("the same list");
+    let read: members::Members = serde_json::from_str(&text).expect("the encoded list is decoded");
     let cpu_us = start.elapsed().as_micros() as f64;
-    assert_eq!(read.workers.len(), workers, "read whole");
+    assert_eq!(read.workers.len(), workers, "all workers are read");
     (cpu_us, text.len())
 }
 
-/// Returns the bytes of one worker in the platform's list.
+/// Returns the size of one worker's entry in the list, in bytes.
 #[must_use]
 pub fn member_bytes() -> usize {
     let member = members::Worker {
--- a/crates/bench/src/capacity/routes.rs
+++ b/crates/bench/src/capacity/routes.rs
@@ -1,43 +1,43 @@
-//! What the endpoints cost a host that routes to them.
+//! The cost of endpoints for a host that routes requests to them.
 
 use std::net;
 
 use wharflane::{digest, endpoints, id};
 
-use crate::capacity::Live;
+use crate::capacity::AllocatedBytes;
 use crate::host;
 
-/// What the endpoints cost a host that routes to them.
+/// The cost of a routing table in a host.
 #[derive(Clone, Copy, Debug)]
 pub struct RoutesCost {
     /// The number of endpoints.
     pub endpoints: usize,
-    /// Processor time to take a new table, in microseconds.
+    /// Processor time of publishing a new table, in microseconds.
     pub cpu_us: f64,
-    /// Memory.
+    /// Memory of the published table, in bytes.
     pub memory: usize,
-    /// Bytes of the table between hosts.
+    /// The size of the table as JSON, as hosts send it to each other, in bytes.
     pub bytes: usize,
 }
 
-/// Measures a table of so many endpoints in services of a hundred each.
+/// Measures a table of `count` endpoints in services of a hundred each.
 ///
 /// # Panics
-/// Panics on settings with faults, which would be a fault of the bench.
+/// Panics if the built-in settings are invalid, which would be a bug in this crate.
 #[must_use]
-pub fn routes(count: usize, live: Live) -> RoutesCost {
+pub fn routes(count: usize, allocated: AllocatedBytes) -> RoutesCost {
     let traffic = host::traffic();
     let endpoints: Vec<endpoints::Endpoint> = (0..count).map(endpoint).collect();
     let bytes = serde_json::to_vec(&endpoints).map_or(0, |bytes| bytes.len());
-    let before = live();
+    let before = allocated();
     let start = cpu_time::ThreadTime::now();
     traffic.publish(host::snapshot(&endpoints, 9));
     let cpu_us = start.elapsed().as_micros() as f64;
-    let memory = live().saturating_sub(before);
+    let memory = allocated().saturating_sub(before);
     RoutesCost { endpoints: count, cpu_us, memory, bytes }
 }
 
-/// Returns an endpoint.
+/// Returns the endpoint with the given number.
 fn endpoint(number: usize) -> endpoints::Endpoint {
     let owner = format!("service-{}", number / 100);
     let index = u32::try_from(number).unwrap_or(u32::MAX);
@@ -51,15 +51,15 @@
     }
 }
 
-/// Returns the bytes of one endpoint in a digest.
+/// Returns the size of one endpoint's entry in a digest, in bytes.
 #[must_use]
 pub fn digest_bytes() -> usize {
-    let seen = digest::EndpointStats {
+    let stats = digest::EndpointStats {
         task: endpoint(1_234).task,
         in_flight: 3,
         answers: 120,
         failures: 0,
         p95_us: 123_456,
     };
-    serde_json::to_vec(&seen).map_or(0, |bytes| bytes.len())
+    serde_json::to_vec(&stats).map_or(0, |bytes| bytes.len())
 }
--- a/crates/bench/src/compare.rs
+++ b/crates/bench/src/compare.rs
@@ -1,67 +1,70 @@
-//! Compares two trees of sources, or one tree with each of its mechanisms taken out, day by day.
+//! Compares two source trees, or one tree with and without each of its mechanisms, over paired
+//! days.
 //!
-//! Both sides play the same days with the same seeds, without processor time charged. What counts is
-//! the mean of the differences with its standard error: single days move by 0.05 with any change.
+//! Both sides play the same days with the same seeds, without charging processor time. The result
+//! is the mean of the paired differences with its standard error, because the worth of a single day
+//! moves by 0.05 with any change, however small.
 
 use std::collections;
 use std::fs;
 use std::path;
 
 use crate::ablate;
-use crate::plays;
+use crate::player;
 use crate::table;
 
-/// How many standard errors a difference must exceed to count.
-const ERRORS_TO_COUNT: f64 = 2.0;
+/// The number of standard errors that a difference must reach to be significant.
+const SIGNIFICANT_ERRORS: f64 = 2.0;
 
-/// What is compared.
+/// The days to play and how to play them.
 #[derive(Clone, Debug)]
 pub struct Comparison {
-    /// How days are played.
-    pub player: plays::Player,
-    /// The days.
-    pub days: Vec<plays::Day>,
-    /// Where new entries of the player's journal are gathered.
+    /// Runs the days.
+    pub player: player::Player,
+    /// The days, each played on both sides.
+    pub days: Vec<player::Day>,
+    /// The folder that collects new journal entries of all trees.
     pub journal: path::PathBuf,
 }
 
-/// The difference that a change made on one deployment.
+/// The mean difference that a change makes on one deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    /// The deployment, or nothing for all of them.
+    /// The deployment, or `None` for all of them together.
     pub deployment: Option<String>,
-    /// The pairs of days.
+    /// The number of paired days.
     pub pairs: usize,
     /// The mean worth without the change.
     pub before: f64,
-    /// The mean worth with it.
+    /// The mean worth with the change.
     pub after: f64,
-    /// The standard error of the mean difference; nothing for a single pair.
-    pub error: Option<f64>,
-    /// The days without the change on which a rule was broken.
+    /// The standard error of the mean difference; `None` for a single pair.
+    pub standard_error: Option<f64>,
+    /// The number of days without the change on which a rule was broken.
     pub broken_before: usize,
-    /// Such days with it, with the rules.
+    /// The days with the change on which a rule was broken, each with its rules.
     pub broken_after: Vec<String>,
 }
 
 impl Difference {
-    /// Returns whether the difference is too large to be chance.
+    /// Returns whether the difference is too large to be due to chance.
     #[must_use]
-    pub fn counts(&self) -> bool {
+    pub fn is_significant(&self) -> bool {
         let difference = (self.after - self.before).abs();
-        self.error.is_some_and(|error| difference >= ERRORS_TO_COUNT * error && difference > 0.0)
+        self.standard_error
+            .is_some_and(|error| difference >= SIGNIFICANT_ERRORS * error && difference > 0.0)
     }
 
-    /// Returns the row of a table.
-    fn row(&self, what: &str) -> Vec<String> {
-        let error = self.error.map_or("?".to_owned(), |error| format!("{error:.4}"));
-        let verdict = if self.counts() { "counts" } else { "below two standard errors" };
+    /// Formats the difference as a row of the table.
+    fn row(&self, change: &str) -> Vec<String> {
+        let error = self.standard_error.map_or("?".to_owned(), |error| format!("{error:.4}"));
+        let verdict = if self.is_significant() { "counts" } else { "below two standard errors" };
         let broken = match self.broken_after.as_slice() {
             [] => "none".to_owned(),
             days => days.join("; "),
         };
         vec![
-            what.to_owned(),
+            change.to_owned(),
             self.deployment.clone().unwrap_or_else(|| "all".to_owned()),
             self.pairs.to_string(),
             format!("{:.3}", self.before),
@@ -80,51 +83,55 @@
     ///
     /// # Errors
     /// Returns the first `PlayError`.
-    pub fn print(&self, before: &plays::Tree, after: &plays::Tree) -> Result<(), plays::PlayError> {
-        let mut shown = table();
+    pub fn print(
+        &self,
+        before: &player::Tree,
+        after: &player::Tree,
+    ) -> Result<(), player::PlayError> {
+        let mut rows = table();
         for difference in self.play(before, after)? {
-            shown.row(difference.row(&after.name));
+            rows.row(difference.row(&after.name));
         }
-        shown.print();
+        rows.print();
         Ok(())
     }
 
-    /// Plays a tree with each mechanism of a list taken out, and prints what each is worth.
+    /// Plays a tree with and without each mechanism of a list, and prints the differences.
     ///
     /// # Errors
-    /// Returns the first error of a play, of the list, or of a copy of the tree.
+    /// Returns the first error of a play, of the list, or of the copy of the tree.
     pub fn print_ablation(
         &self,
-        whole: &plays::Tree,
+        full: &player::Tree,
         list: &path::Path,
     ) -> Result<(), ablate::AblateError> {
         let mechanisms = ablate::read(list)?;
-        let mut shown = table();
-        self.player.build(whole)?;
-        let reports = self.reports(whole)?;
-        let mut copy = ablate::Copy::of(whole)?;
+        let mut rows = table();
+        self.player.build(full)?;
+        let reports = self.reports(full)?;
+        let mut copy = ablate::TreeCopy::of(full)?;
         for mechanism in &mechanisms {
-            let text = copy.take_out(mechanism)?;
+            let text = copy.remove(mechanism)?;
             self.player.build(&copy.tree)?;
             let pairs: Vec<_> = reports.iter().cloned().zip(self.reports(&copy.tree)?).collect();
             for difference in differences(&self.days, &pairs) {
-                shown.row(difference.row(&copy.tree.name));
+                rows.row(difference.row(&copy.tree.name));
             }
-            copy.put_back(mechanism, &text)?;
+            copy.restore(mechanism, &text)?;
         }
-        shown.print();
+        rows.print();
         Ok(())
     }
 
-    /// Plays all days in both trees, the two sides of a pair one after the other.
+    /// Plays all days in both trees, with the two sides of each pair in succession.
     ///
     /// # Errors
     /// Returns the first `PlayError`.
     pub fn play(
         &self,
-        before: &plays::Tree,
-        after: &plays::Tree,
-    ) -> Result<Vec<Difference>, plays::PlayError> {
+        before: &player::Tree,
+        after: &player::Tree,
+    ) -> Result<Vec<Difference>, player::PlayError> {
         self.player.build(before)?;
         self.player.build(after)?;
         let sides = |day| [(before, day), (after, day)];
@@ -132,36 +139,37 @@
         let reports = self.player.play_all(&plays)?;
         let pairs: Vec<_> =
             reports.chunks(2).map(|pair| (pair[0].clone(), pair[1].clone())).collect();
-        self.gather(before)?;
-        self.gather(after)?;
+        self.collect_journal(before)?;
+        self.collect_journal(after)?;
         Ok(differences(&self.days, &pairs))
     }
 
     /// Plays all days in one tree.
-    fn reports(&self, tree: &plays::Tree) -> Result<Vec<plays::Report>, plays::PlayError> {
+    fn reports(&self, tree: &player::Tree) -> Result<Vec<player::Report>, player::PlayError> {
         let plays: Vec<_> = self.days.iter().map(|day| (tree, day)).collect();
         let reports = self.player.play_all(&plays)?;
-        self.gather(tree)?;
+        self.collect_journal(tree)?;
         Ok(reports)
     }
 
-    /// Copies entries of a tree's journal that are not here yet.
-    fn gather(&self, tree: &plays::Tree) -> Result<(), plays::PlayError> {
-        let from = tree.folder.join("journal");
-        let Ok(listed) = fs::read_dir(&from) else {
+    /// Copies new entries of a tree's journal to the common journal.
+    fn collect_journal(&self, tree: &player::Tree) -> Result<(), player::PlayError> {
+        let source_dir = tree.folder.join("journal");
+        let Ok(listed) = fs::read_dir(&source_dir) else {
             return Ok(());
         };
         for entry in listed.flatten().filter(|entry| entry.path().is_file()) {
-            let to = self.journal.join(entry.file_name());
-            if !to.exists() {
-                fs::copy(entry.path(), &to).map_err(|source| plays::io(&to, source))?;
+            let target = self.journal.join(entry.file_name());
+            if !target.exists() {
+                fs::copy(entry.path(), &target)
+                    .map_err(|source| player::io_error(&target, source))?;
             }
         }
         Ok(())
     }
 }
 
-/// Starts the table of differences.
+/// Creates the table of differences.
 fn table() -> table::Table {
     table::Table::new(&[
         "change",
@@ -177,11 +185,11 @@
     ])
 }
 
-/// Returns the differences by deployment, and over all where there are several.
+/// Returns the difference for each deployment, and over all deployments if there are several.
 #[must_use]
 pub fn differences(
-    days: &[plays::Day],
-    pairs: &[(plays::Report, plays::Report)],
+    days: &[player::Day],
+    pairs: &[(player::Report, player::Report)],
 ) -> Vec<Difference> {
     let mut deployments = collections::BTreeMap::<String, Vec<Pair<'_>>>::new();
     for (day, (before, after)) in days.iter().zip(pairs) {
@@ -197,31 +205,32 @@
     differences
 }
 
-/// A day with what it was worth without a change and with it.
-type Pair<'a> = (&'a plays::Day, &'a plays::Report, &'a plays::Report);
+/// A day with its reports without and with the change.
+type Pair<'a> = (&'a player::Day, &'a player::Report, &'a player::Report);
 
-/// Sums up pairs of days.
+/// Returns the difference over pairs of days.
 fn difference(deployment: Option<String>, pairs: &[Pair<'_>]) -> Difference {
     let count = pairs.len().max(1) as f64;
     let mean = |worth: fn(&Pair<'_>) -> f64| pairs.iter().map(worth).sum::<f64>() / count;
     let (before, after) = (mean(|pair| pair.1.worth), mean(|pair| pair.2.worth));
     let mean_difference = after - before;
-    let squares = pairs.iter().map(|pair| (pair.2.worth - pair.1.worth - mean_difference).powi(2));
-    let variance = squares.sum::<f64>() / (count - 1.0);
+    let squared_deviations =
+        pairs.iter().map(|pair| (pair.2.worth - pair.1.worth - mean_difference).powi(2));
+    let variance = squared_deviations.sum::<f64>() / (count - 1.0);
     let broken = pairs.iter().filter(|pair| !pair.2.breaks.is_empty());
     Difference {
         deployment,
         pairs: pairs.len(),
         before,
         after,
-        error: (pairs.len() > 1).then(|| (variance / count).sqrt()),
+        standard_error: (pairs.len() > 1).then(|| (variance / count).sqrt()),
         broken_before: pairs.iter().filter(|pair| !pair.1.breaks.is_empty()).count(),
-        broken_after: broken.map(|(day, _, report)| told(day, report)).collect(),
+        broken_after: broken.map(|(day, _, report)| describe_violations(day, report)).collect(),
     }
 }
 
-/// Names a day and the rules that were broken on it.
-fn told(day: &plays::Day, report: &plays::Report) -> String {
+/// Names a day and the rules broken on it.
+fn describe_violations(day: &player::Day, report: &player::Report) -> String {
     let rules: Vec<&str> = report.breaks.keys().map(String::as_str).collect();
     format!("{} {} seed {}: {}", day.deployment(), day.name, day.seed, rules.join(" "))
 }
--- a/crates/bench/src/crashes.rs
+++ b/crates/bench/src/crashes.rs
@@ -1,4 +1,4 @@
-//! Decision 11: tasks under which workers crash, counted over worlds in virtual time.
+//! Decision 11: tasks that crash their workers, counted over many simulated worlds in virtual time.
 
 use std::time;
 
@@ -6,47 +6,50 @@
 
 use crate::table;
 
-/// The shares of jobs with a task that crashes workers, in thousandths.
-const SHARES: [u32; 3] = [10, 50, 200];
+/// Shares of jobs with a task that crashes its worker, in thousandths.
+const CRASHING_PER_MILLE: [u32; 3] = [10, 50, 200];
 
-/// What many worlds came to.
+/// Totals over the worlds of all seeds.
 #[derive(Debug, Default)]
-struct Sum {
-    /// Workers that crashed because of what they had started.
-    crashed: u32,
-    /// The work of other tasks that was lost with them.
-    lost_beside: time::Duration,
-    /// Jobs that were given up though they could be done.
-    wronged: usize,
-    /// Rules that were broken.
-    breaches: usize,
-    /// Jobs that did not come to their end.
+struct Totals {
+    /// Workers crashed by a task that they started.
+    crashed_workers: u32,
+    /// Work of other tasks that was lost on crashed workers.
+    collateral_loss: time::Duration,
+    /// Jobs that were given up although they could have completed.
+    wrongly_failed: usize,
+    /// Violations of the rules that the world checks.
+    violations: usize,
+    /// Jobs that had not ended when their world stopped.
     unfinished: usize,
-    /// Starts.
+    /// Task starts.
     starts: u64,
 }
 
-/// Plays worlds of many seeds.
-fn play(faults: world::Faults, seeds: u64) -> Sum {
-    let mut sum = Sum::default();
+/// Runs one world for each seed and adds up the results.
+fn run_worlds(faults: world::Faults, seeds: u64) -> Totals {
+    let mut totals = Totals::default();
     for seed in 0..seeds {
         let mut world = world::World::new(seed, faults, 3, 24, 60);
         world.run();
-        sum.crashed += world.checker.crashed_workers();
-        sum.lost_beside += world.checker.collateral_loss;
-        let wronged = world.wrongly_failed();
-        if !wronged.is_empty() {
-            eprintln!("seed {seed}, {} in 1,000: given up {wronged:?}", faults.crashing_tasks);
+        totals.crashed_workers += world.checker.crashed_workers();
+        totals.collateral_loss += world.checker.collateral_loss;
+        let wrongly_failed = world.wrongly_failed();
+        if !wrongly_failed.is_empty() {
+            eprintln!(
+                "seed {seed}, {} in 1,000 jobs crash workers: wrongly failed {wrongly_failed:?}",
+                faults.crashing_tasks
+            );
         }
-        sum.wronged += wronged.len();
-        sum.breaches += world.checker.violations.len();
-        sum.unfinished += world.unfinished().len();
-        sum.starts += world.checker.starts;
+        totals.wrongly_failed += wrongly_failed.len();
+        totals.violations += world.checker.violations.len();
+        totals.unfinished += world.unfinished().len();
+        totals.starts += world.checker.starts;
     }
-    sum
+    totals
 }
 
-/// Prints one line for each share of such jobs, without and with workers that are lost for other causes.
+/// Prints a row for each share of crashing jobs, without and with workers lost for other causes.
 pub fn print(seeds: u64) {
     let mut table = table::Table::new(&[
         "jobs with one",
@@ -58,21 +61,25 @@
         "unfinished",
         "starts",
     ]);
-    for share in SHARES {
+    for crashing_per_mille in CRASHING_PER_MILLE {
         for (name, crashes, cuts) in [("none", 0, 0), ("8 deaths, 4 cuts", 8, 4)] {
-            let faults =
-                world::Faults { crashing_tasks: share, crashes, cuts, ..world::Faults::default() };
-            let sum = play(faults, seeds);
-            let crashed = f64::from(sum.crashed.max(1));
+            let faults = world::Faults {
+                crashing_tasks: crashing_per_mille,
+                crashes,
+                cuts,
+                ..world::Faults::default()
+            };
+            let totals = run_worlds(faults, seeds);
+            let crashed = f64::from(totals.crashed_workers.max(1));
             table.row(vec![
-                table::percent(u64::from(share), 1_000),
+                table::percent(u64::from(crashing_per_mille), 1_000),
                 name.to_owned(),
-                sum.crashed.to_string(),
-                table::two(sum.lost_beside.as_secs_f64() / crashed),
-                sum.wronged.to_string(),
-                sum.breaches.to_string(),
-                sum.unfinished.to_string(),
-                sum.starts.to_string(),
+                totals.crashed_workers.to_string(),
+                table::two_decimals(totals.collateral_loss.as_secs_f64() / crashed),
+                totals.wrongly_failed.to_string(),
+                totals.violations.to_string(),
+                totals.unfinished.to_string(),
+                totals.starts.to_string(),
             ]);
         }
     }
--- a/crates/bench/src/fleet/mix.rs
+++ b/crates/bench/src/fleet/workload.rs
@@ -1,26 +1,26 @@
-//! What a fleet is made of and what is handed in: workers, queues and kinds of jobs.
+//! The workload of a simulated fleet: its workers, queues and kinds of jobs.
 
 use std::sync;
 
 use wharflane::{job, size};
 
-/// The target of serving tasks.
+/// The latency target of serving tasks, in milliseconds.
 const TARGET_MS: u64 = 50;
 
 /// A kind of job.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Kind {
-    /// Short work on room of its own.
+    /// Short tasks with reserved processors.
     Short,
-    /// Longer work on what others leave.
-    Fills,
-    /// Tasks that serve until the end.
-    Serves,
-    /// Tasks that find no room.
-    Large,
+    /// Longer best-effort tasks that run on unused processors.
+    BestEffort,
+    /// Long-running tasks that serve requests under a latency target.
+    Serving,
+    /// Tasks that are too large for any worker and wait forever.
+    Oversized,
 }
 
-/// Returns the steps of a job; images repeat after some jobs.
+/// Returns the steps of a job. Best-effort and serving jobs share six images of each kind.
 pub(super) fn steps(kind: Kind, number: u64) -> Vec<job::Step> {
     let step = |count, cpu_milli, estimate_ms| job::Step {
         count,
@@ -29,23 +29,23 @@
         ..job::Step::default()
     };
     let image = |name: &str| Some(format!("{name}-{}", number % 6));
-    let fills = job::Step { fills: true, image: image("filling"), ..step(39, 1_800, 2_700) };
-    let second = |first: &job::Step| job::Step { after: vec![0], ..first.clone() };
+    let best_effort = job::Step { fills: true, image: image("filling"), ..step(39, 1_800, 2_700) };
+    let next_step = |first: &job::Step| job::Step { after: vec![0], ..first.clone() };
     match kind {
-        Kind::Short if number % 5 < 3 => vec![step(9, 5_300, 800), second(&step(9, 5_300, 800))],
+        Kind::Short if number % 5 < 3 => vec![step(9, 5_300, 800), next_step(&step(9, 5_300, 800))],
         Kind::Short => vec![step(9, 5_300, 800)],
-        Kind::Fills => vec![fills.clone(), second(&fills)],
-        Kind::Serves => vec![job::Step {
+        Kind::BestEffort => vec![best_effort.clone(), next_step(&best_effort)],
+        Kind::Serving => vec![job::Step {
             lasting: true,
             target_ms: Some(TARGET_MS),
             image: image("serving"),
             ..step(24, 3_000, 1_000)
         }],
-        Kind::Large => vec![step(39, 16_500 + number % 400, 2_700)],
+        Kind::Oversized => vec![step(39, 16_500 + number % 400, 2_700)],
     }
 }
 
-/// Returns the queues.
+/// Returns the two queues, `first` with the higher priority.
 pub(super) fn queues() -> sync::Arc<job::Queues> {
     let queue = |name: &str, priority| job::Queue {
         name: name.to_owned(),
@@ -62,8 +62,8 @@
     sync::Arc::new(job::Queues { revision: 1, queues: queues.into_iter().collect() })
 }
 
-/// Returns a worker, 20 to a rack.
-pub(super) fn member(at: usize) -> job::Member {
+/// Returns the membership entry of a worker, with 20 workers to a rack.
+pub(super) fn worker_member(at: usize) -> job::Member {
     job::Member {
         incarnation: format!(
             "i-{:010x}",
--- a/crates/bench/src/forwarder.rs
+++ b/crates/bench/src/forwarder.rs
@@ -1,4 +1,4 @@
-//! What a host costs for a request, against a bare forwarder of a few lines.
+//! The processor time and latency that a host adds to a request, compared with a minimal forwarder.
 
 use std::convert;
 use std::net;
@@ -22,33 +22,33 @@
 
 /// The number of endpoints, enough for all requests in flight.
 const ENDPOINTS: usize = 64;
-/// The service that all of them serve.
+/// The service that all endpoints belong to.
 const SERVICE: &str = "echo";
-/// The threads of each of the two.
-const THREADS: usize = 2;
-/// The name of the host's threads.
-const HOST: &str = "fw-host";
-/// The name of the bare forwarder's threads.
-const BARE: &str = "fw-bare";
+/// Threads of the host, and of the forwarder.
+const THREADS_PER_SIDE: usize = 2;
+/// The thread name of the host.
+const HOST_THREAD: &str = "fw-host";
+/// The thread name of the minimal forwarder.
+const BARE_THREAD: &str = "fw-bare";
 
-/// A client.
+/// An HTTP client that sends requests with complete bodies.
 type Client = legacy::Client<legacy::connect::HttpConnector, http_body_util::Full<Bytes>>;
 
-/// What one side cost.
+/// The cost of one side, host or forwarder.
 #[derive(Clone, Copy, Debug)]
 struct Cost {
-    /// Processor time a request, in microseconds.
+    /// Processor time per request, in microseconds.
     cpu_us: f64,
-    /// The latency that 99 of 100 answers kept, in milliseconds.
+    /// The latency that 99 of 100 answers do not exceed, in milliseconds.
     p99_ms: f64,
 }
 
-/// Measures both and prints the ratios.
+/// Measures both sides and prints the ratios.
 pub fn print() {
     let runtime = threads::runtime("fw-load", 4);
     let addrs = runtime.block_on(start_endpoints());
     let host = start_host(&addrs);
-    let bare = start_bare(addrs);
+    let bare = start_bare_forwarder(addrs);
     let mut table = table::Table::new(&[
         "answer",
         "in flight",
@@ -62,9 +62,9 @@
     for (bytes, in_flight, requests) in
         [(20, 8, 20_000), (20, 512, 40_000), (1 << 20, 8, 400), (1 << 20, 512, 800)]
     {
-        let mut costs = [(BARE, bare), (HOST, host)].map(|(name, addr)| {
-            let warm = load(addr, bytes, in_flight, requests / 10);
-            runtime.block_on(warm);
+        let mut costs = [(BARE_THREAD, bare), (HOST_THREAD, host)].map(|(name, addr)| {
+            let warm_up = run_load(addr, bytes, in_flight, requests / 10);
+            runtime.block_on(warm_up);
             measure(&runtime, name, addr, bytes, in_flight, requests)
         });
         costs[0].cpu_us = costs[0].cpu_us.max(0.01);
@@ -72,19 +72,19 @@
         table.row(vec![
             if bytes == 20 { "20 B" } else { "1 MB" }.to_owned(),
             in_flight.to_string(),
-            table::two(bare.cpu_us),
-            table::two(host.cpu_us),
-            table::two(host.cpu_us / bare.cpu_us),
-            table::two(bare.p99_ms),
-            table::two(host.p99_ms),
-            table::two(host.p99_ms / bare.p99_ms),
+            table::two_decimals(bare.cpu_us),
+            table::two_decimals(host.cpu_us),
+            table::two_decimals(host.cpu_us / bare.cpu_us),
+            table::two_decimals(bare.p99_ms),
+            table::two_decimals(host.p99_ms),
+            table::two_decimals(host.p99_ms / bare.p99_ms),
         ]);
     }
     table.print();
     runtime.shutdown_background();
 }
 
-/// Measures one side.
+/// Measures one side after it has been warmed up.
 fn measure(
     runtime: &tokio::runtime::Runtime,
     name: &str,
@@ -93,38 +93,39 @@
     in_flight: usize,
     requests: u64,
 ) -> Cost {
-    let before = threads::ticks(name);
-    let latency = runtime.block_on(load(addr, bytes, in_flight, requests));
-    let used = threads::ticks(name) - before;
+    let before = threads::cpu_ticks(name);
+    let latency = runtime.block_on(run_load(addr, bytes, in_flight, requests));
+    let used = threads::cpu_ticks(name) - before;
     Cost {
-        cpu_us: used / threads::TICKS * 1e6 / requests as f64,
+        cpu_us: used / threads::TICKS_PER_SECOND * 1e6 / requests as f64,
         p99_ms: latency.value_at_quantile(0.99) as f64 / 1_000.0,
     }
 }
 
-/// Sends requests, so many at a time, and returns their latencies in microseconds.
-async fn load(
+/// Sends requests with a fixed number in flight and returns their latencies in microseconds.
+async fn run_load(
     addr: net::SocketAddr,
     bytes: usize,
     in_flight: usize,
     requests: u64,
 ) -> hdrhistogram::Histogram<u64> {
     let client: Client = legacy::Client::builder(rt::TokioExecutor::new()).build_http();
-    let left = sync::Arc::new(atomic::AtomicU64::new(requests));
+    let remaining = sync::Arc::new(atomic::AtomicU64::new(requests));
     let mut callers = Vec::new();
     for _ in 0..in_flight {
-        let (client, left) = (client.clone(), sync::Arc::clone(&left));
+        let (client, remaining) = (client.clone(), sync::Arc::clone(&remaining));
         callers.push(tokio::spawn(async move {
             let mut latencies = Vec::new();
-            while left
-                .fetch_update(atomic::Ordering::Relaxed, atomic::Ordering::Relaxed, |left| {
-                    left.checked_sub(1)
+            while remaining
+                .fetch_update(atomic::Ordering::Relaxed, atomic::Ordering::Relaxed, |remaining| {
+                    remaining.checked_sub(1)
                 })
                 .is_ok()
             {
                 let start = time::Instant::now();
-                let uri =
-                    format!("http://{addr}/{SERVICE}/x?bytes={bytes}").parse().expect("a URI");
+                let uri = format!("http://{addr}/{SERVICE}/x?bytes={bytes}")
+                    .parse()
+                    .expect("the URI is valid");
                 let Ok(answer) = client.get(uri).await else { continue };
                 if answer.into_body().collect().await.is_ok() {
                     latencies.push(start.elapsed());
@@ -133,7 +134,7 @@
             latencies
         }));
     }
-    let mut all = hdrhistogram::Histogram::new_with_max(60_000_000, 3).expect("bounds are fixed");
+    let mut all = hdrhistogram::Histogram::new_with_max(60_000_000, 3).expect("bounds are valid");
     for caller in callers {
         for latency in caller.await.unwrap_or_default() {
             all.saturating_record(u64::try_from(latency.as_micros()).unwrap_or(u64::MAX));
@@ -142,28 +143,28 @@
     all
 }
 
-/// Starts the endpoints on the threads of the load.
+/// Starts the endpoints on the threads of the load generator.
 async fn start_endpoints() -> Vec<net::SocketAddr> {
     let mut addrs = Vec::new();
     for index in 0..ENDPOINTS {
         let room = endpoint::Limits { slots: 1_000, connections: 1_000 };
-        let fake = endpoint::Endpoint::new(task(index), room, history::History::default());
+        let server = endpoint::Endpoint::new(task(index), room, history::History::default());
         let listener = threads::bind().await;
-        addrs.push(listener.local_addr().expect("its address"));
-        tokio::spawn(fake.serve(listener, std::future::pending()));
+        addrs.push(listener.local_addr().expect("the listener has an address"));
+        tokio::spawn(server.serve(listener, std::future::pending()));
     }
     addrs
 }
 
-/// Starts the traffic of a host on threads of its own.
+/// Starts the request path of a host on threads of its own.
 fn start_host(addrs: &[net::SocketAddr]) -> net::SocketAddr {
     let traffic = sync::Arc::new(host::traffic());
     let endpoints: Vec<_> = addrs.iter().enumerate().map(endpoint).collect();
     traffic.publish(host::snapshot(&endpoints, 1));
-    serve_on(HOST, move |request| sync::Arc::clone(&traffic).serve(request))
+    serve_on(HOST_THREAD, move |request| sync::Arc::clone(&traffic).serve(request))
 }
 
-/// Returns what a host knows of an endpoint.
+/// Returns the routing entry of an endpoint.
 fn endpoint((index, addr): (usize, &net::SocketAddr)) -> endpoints::Endpoint {
     endpoints::Endpoint {
         task: task(index),
@@ -174,30 +175,30 @@
     }
 }
 
-/// Returns the task of an endpoint.
+/// Returns the task that the endpoint with the given index runs.
 fn task(index: usize) -> id::TaskId {
     id::TaskId { owner: SERVICE.into(), born: 1, index: index as u32 }
 }
 
-/// Serves on threads of a name.
+/// Serves requests on threads with the given name.
 fn serve_on<H, F>(name: &str, handle: H) -> net::SocketAddr
 where
     H: Fn(hyper::Request<hyper::body::Incoming>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = wharflane_http::reply::Reply> + Send + 'static,
 {
-    let runtime = threads::runtime(name, THREADS);
+    let runtime = threads::runtime(name, THREADS_PER_SIDE);
     let listener = runtime.block_on(threads::bind());
-    let addr = listener.local_addr().expect("its address");
+    let addr = listener.local_addr().expect("the listener has an address");
     runtime.spawn(server::serve(listener, server::Bounds::default(), server::never(), handle));
     std::mem::forget(runtime);
     addr
 }
 
-/// Starts a forwarder of a few lines, with no choice, no limits and no retries.
-fn start_bare(addrs: Vec<net::SocketAddr>) -> net::SocketAddr {
-    let runtime = threads::runtime(BARE, THREADS);
+/// Starts a minimal round-robin forwarder without health checks, limits and retries.
+fn start_bare_forwarder(addrs: Vec<net::SocketAddr>) -> net::SocketAddr {
+    let runtime = threads::runtime(BARE_THREAD, THREADS_PER_SIDE);
     let listener = runtime.block_on(threads::bind());
-    let addr = listener.local_addr().expect("its address");
+    let addr = listener.local_addr().expect("the listener has an address");
     runtime.spawn(async move {
         let client: legacy::Client<_, hyper::body::Incoming> =
             legacy::Client::builder(rt::TokioExecutor::new()).build_http();
@@ -211,7 +212,7 @@
                     let at = next.fetch_add(1, atomic::Ordering::Relaxed) % addrs.len();
                     let path = request.uri().path_and_query().map_or("/", |path| path.as_str());
                     let uri = format!("http://{}{}", addrs[at], path.trim_start_matches("/echo"));
-                    *request.uri_mut() = uri.parse().expect("a URI");
+                    *request.uri_mut() = uri.parse().expect("the URI is valid");
                     client.request(request)
                 });
             tokio::spawn(async move {
--- a/crates/bench/src/hall.rs
+++ b/crates/bench/src/hall.rs
@@ -1,4 +1,5 @@
-//! One hall in virtual time: an engine, a store that answers at once, and what both cost.
+//! One hall in virtual time: an engine, its workers, and a store that answers at once. Counts the
+//! processor time of the engine, messages, bytes and transactions.
 
 use std::collections;
 use std::net;
@@ -8,46 +9,46 @@
 use wharflane::{desired, hall, id, members, platform, size, work};
 use wharflane_stand_in::{history, machine, store};
 
-/// The hall.
+/// The name of the hall.
 const HALL: &str = "hall";
-/// The time between two steps.
+/// The virtual time between two ticks of the engine.
 const STEP: time::Duration = time::Duration::from_millis(100);
-/// The longest that a hall may take for what is waited for: far beyond the seconds that it takes.
-pub const MOST: time::Duration = time::Duration::from_secs(600);
-/// How long a full hall is left alone before it is measured, so that its last commits are made.
+/// The longest wait for a condition. Halls need seconds, so a longer wait is a fault.
+pub const MAX_WAIT: time::Duration = time::Duration::from_secs(600);
+/// How long a full hall runs before it is measured, so that its last commits are done.
 const SETTLE: time::Duration = time::Duration::from_secs(5);
-/// Batch tasks on each worker.
-const BATCH: u32 = 12;
-/// Service tasks on each worker.
-const SERVICES: u32 = 3;
-/// Tasks on each worker of a filled hall.
-pub const TASKS: u32 = BATCH + SERVICES;
-/// Sizes of the halls that are printed: as a site in use, four times as large, and far beyond.
-pub const WORKERS: [usize; 3] = [65, 260, 1_000];
-/// How long a task runs, in milliseconds.
-pub const LONG_MS: u64 = 3_600_000;
+/// Batch tasks on each worker of a full hall.
+const BATCH_PER_WORKER: u32 = 12;
+/// Service tasks on each worker of a full hall.
+const SERVICES_PER_WORKER: u32 = 3;
+/// Tasks on each worker of a full hall.
+pub const TASKS_PER_WORKER: u32 = BATCH_PER_WORKER + SERVICES_PER_WORKER;
+/// Sizes of the measured halls, in workers: as a site in use, four times as large, and far larger.
+pub const HALL_SIZES: [usize; 3] = [65, 260, 1_000];
+/// The run time of a batch task in milliseconds, longer than any measurement.
+pub const RUN_TIME_MS: u64 = 3_600_000;
 
-/// What was counted.
+/// Counters of what the engine and the store did.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counted {
+pub struct Counters {
     /// Processor time of the engine.
     pub cpu: time::Duration,
-    /// Messages to workers.
+    /// Sync messages sent to workers.
     pub syncs: u64,
-    /// Bytes of these messages, as JSON.
+    /// Size of the sync messages as JSON, in bytes.
     pub sync_bytes: u64,
-    /// Bytes of the answers, as JSON.
+    /// Size of the workers' answers as JSON, in bytes.
     pub report_bytes: u64,
-    /// Transactions.
+    /// Transactions sent to the store.
     pub txns: u64,
-    /// Bytes of their writes.
+    /// Size of the values written by transactions, in bytes.
     pub txn_bytes: u64,
-    /// Reads.
+    /// Reads of the head from the store.
     pub reads: u64,
 }
 
-impl Counted {
-    /// Returns what was counted since an earlier moment.
+impl Counters {
+    /// Returns the difference to an earlier state of the counters.
     #[must_use]
     pub fn since(&self, before: &Self) -> Self {
         Self {
@@ -62,27 +63,27 @@
     }
 }
 
-/// A hall with one engine, and answers that come at once.
+/// A hall with one engine whose effects are answered at once.
 #[derive(Debug)]
 pub struct Hall {
-    /// The engine.
+    /// The engine under measurement.
     pub engine: hall::Engine,
-    /// The store.
+    /// The store of the head, the log and the snapshots.
     store: store::Store,
-    /// The workers.
+    /// The simulated workers by id.
     machines: collections::BTreeMap<id::WorkerId, machine::Machine>,
-    /// The list of machines.
+    /// The membership list given to every engine.
     members: sync::Arc<members::Members>,
     /// The configuration in force.
     current: sync::Arc<hall::Current>,
-    /// The time.
+    /// Virtual time since the start.
     pub now: time::Duration,
-    /// What was counted.
-    pub counted: Counted,
+    /// Counters since the start.
+    pub counters: Counters,
 }
 
 impl Hall {
-    /// Makes a hall of so many workers.
+    /// Creates a hall with the given number of workers and no tasks.
     #[must_use]
     pub fn new(workers: usize) -> Self {
         let history = history::History::default();
@@ -97,8 +98,8 @@
             let rack = format!("rack-{}", number / 8);
             let member = members::Worker { addr, hall: HALL.into(), rack, presence };
             members.workers.insert(worker.clone(), member);
-            let made = machine::Machine::new(worker.clone(), capacity, 1, history.clone());
-            machines.insert(worker, made);
+            let machine = machine::Machine::new(worker.clone(), capacity, 1, history.clone());
+            machines.insert(worker, machine);
         }
         let mut hall = Self {
             engine: engine(1),
@@ -107,40 +108,40 @@
             members: sync::Arc::new(members),
             current: sync::Arc::default(),
             now: time::Duration::ZERO,
-            counted: Counted::default(),
+            counters: Counters::default(),
         };
         hall.step(hall::Event::Members(sync::Arc::clone(&hall.members)));
         hall
     }
 
-    /// Makes a hall in which all that `filled` asks for runs and has settled.
+    /// Creates a hall that runs all tasks of `full_config` and has settled.
     ///
     /// # Panics
-    /// Panics if the hall does not fill within minutes, which its bounds exclude.
+    /// Panics if the hall does not fill within `MAX_WAIT`.
     #[must_use]
-    pub fn full(workers: usize, more: u32) -> Self {
+    pub fn full(workers: usize, extra_tasks: u32) -> Self {
         let mut hall = Self::new(workers);
-        hall.apply(&filled(workers, more));
-        let tasks = workers * TASKS as usize + more as usize;
-        hall.run_until(MOST, |hall| hall.running() == tasks).expect("the hall fills");
+        hall.apply(&full_config(workers, extra_tasks));
+        let tasks = workers * TASKS_PER_WORKER as usize + extra_tasks as usize;
+        hall.run_until(MAX_WAIT, |hall| hall.running() == tasks).expect("the hall fills");
         hall.run(SETTLE);
         hall
     }
 
-    /// Puts a desired state in force.
+    /// Puts a desired state in force as the next revision.
     ///
     /// # Panics
-    /// Panics on a text with faults, which would be a fault of the bench.
+    /// Panics if the text is invalid, which would be a bug in this crate.
     pub fn apply(&mut self, text: &str) {
-        let mut desired = desired::parse(text).expect("the bench's own text");
+        let mut desired = desired::parse(text).expect("built-in desired state is valid");
         let revision = self.current.revision + 1;
         desired::check_update(&self.current.desired, &mut desired, revision)
-            .expect("the bench's own text");
+            .expect("built-in desired state is valid");
         self.current = sync::Arc::new(hall::Current { revision, desired });
         self.step(hall::Event::Config(sync::Arc::clone(&self.current)));
     }
 
-    /// Lets time pass.
+    /// Advances virtual time by a duration.
     pub fn run(&mut self, duration: time::Duration) {
         let end = self.now + duration;
         while self.now < end {
@@ -149,67 +150,68 @@
         }
     }
 
-    /// Lets time pass, and returns what was counted in it.
-    pub fn count(&mut self, duration: time::Duration) -> Counted {
-        let before = self.counted;
+    /// Advances virtual time by a duration and returns what was counted in it.
+    pub fn measure(&mut self, duration: time::Duration) -> Counters {
+        let before = self.counters;
         self.run(duration);
-        self.counted.since(&before)
+        self.counters.since(&before)
     }
 
-    /// Lets time pass until something holds, and returns how long it took.
+    /// Advances virtual time until a condition holds and returns the time it took, or `None` after
+    /// the timeout.
     pub fn run_until(
         &mut self,
-        most: time::Duration,
-        holds: impl Fn(&Self) -> bool,
+        timeout: time::Duration,
+        condition: impl Fn(&Self) -> bool,
     ) -> Option<time::Duration> {
         let start = self.now;
-        while self.now - start < most {
+        while self.now - start < timeout {
             self.run(STEP);
-            if holds(self) {
+            if condition(self) {
                 return Some(self.now - start);
             }
         }
         None
     }
 
-    /// Replaces the host by another that knows nothing.
+    /// Replaces the holder by a new engine that has no state and must recover from the store.
     pub fn replace_host(&mut self) {
         self.engine = engine(2);
         self.step(hall::Event::Members(sync::Arc::clone(&self.members)));
         self.step(hall::Event::Config(sync::Arc::clone(&self.current)));
     }
 
-    /// Returns how many tasks run on all workers.
+    /// Returns the number of tasks that run on all workers.
     #[must_use]
     pub fn running(&self) -> usize {
         self.machines.values().map(machine::Machine::running_count).sum()
     }
 
-    /// Returns how many tasks of an owner run on all workers.
+    /// Returns the number of tasks of one owner that run on all workers.
     #[must_use]
     pub fn running_of(&self, owner: &str) -> usize {
         let tasks = self.machines.values().flat_map(machine::Machine::shares);
         tasks.filter(|(task, _)| *task.owner == *owner).count()
     }
 
-    /// Lets the engine take an event, and answers all that it asks for at once.
+    /// Passes an event to the engine and answers its effects until it asks for no more.
     fn step(&mut self, event: hall::Event) {
         let mut events = collections::VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let start = cpu_time::ThreadTime::now();
             let effects = self.engine.step(self.now, event);
-            self.counted.cpu += start.elapsed();
+            self.counters.cpu += start.elapsed();
             for effect in effects {
-                events.extend(self.answer(effect));
+                events.extend(self.carry_out(effect));
             }
         }
     }
 
-    /// Answers what the engine asks for.
-    fn answer(&mut self, effect: hall::Effect) -> Option<hall::Event> {
+    /// Carries out an effect and returns the event that answers it, if any.
+    fn carry_out(&mut self, effect: hall::Effect) -> Option<hall::Event> {
         Some(match effect {
             hall::Effect::ReadHead => {
-                self.counted.reads += 1;
+                self.counters.reads += 1;
                 let rows = self.store.read(&[hall::head_key(&HALL.into())]).ok()?;
                 let head = rows
                     .first()
@@ -222,8 +224,8 @@
                 hall::Event::Loaded { snapshot: text, log }
             }
             hall::Effect::Txn(txn) => {
-                self.counted.txns += 1;
-                self.counted.txn_bytes += txn_bytes(&txn);
+                self.counters.txns += 1;
+                self.counters.txn_bytes += written_bytes(&txn);
                 hall::Event::Txn(self.store.transact(&txn).ok())
             }
             hall::Effect::Store(snapshot, text) => {
@@ -235,8 +237,8 @@
                 return None;
             }
             hall::Effect::Sync(_, sync) => {
-                self.counted.syncs += 1;
-                self.counted.sync_bytes += json_bytes(&sync);
+                self.counters.syncs += 1;
+                self.counters.sync_bytes += json_bytes(&sync);
                 let machine = self.machines.get_mut(&sync.worker)?;
                 let answer = machine.sync(self.now, &sync);
                 if let work::Answer::Report(report) = &answer {
@@ -247,34 +249,35 @@
                         }
                     }
                 }
-                self.counted.report_bytes += json_bytes(&answer);
+                self.counters.report_bytes += json_bytes(&answer);
                 hall::Event::Synced { worker: sync.worker, seq: sync.seq, answer: Some(answer) }
             }
         })
     }
 }
 
-/// Returns an engine of a host.
+/// Creates an engine of the host; the nonce tells engines apart.
 fn engine(nonce: u64) -> hall::Engine {
     hall::Engine::new(HALL.into(), "entry-0".into(), hall::Settings::default(), nonce)
 }
 
-/// Returns the bytes of a transaction's writes.
-fn txn_bytes(txn: &platform::Txn) -> u64 {
-    let written = |write: &platform::Write| write.value.as_ref().map_or(0, String::len) as u64;
-    txn.writes.iter().map(written).sum()
+/// Returns the size of the values that a transaction writes, in bytes.
+fn written_bytes(txn: &platform::Txn) -> u64 {
+    let value_len = |write: &platform::Write| write.value.as_ref().map_or(0, String::len) as u64;
+    txn.writes.iter().map(value_len).sum()
 }
 
-/// Returns the bytes of a value as JSON.
+/// Returns the size of a value as JSON, in bytes.
 fn json_bytes<T: serde::Serialize>(value: &T) -> u64 {
     serde_json::to_vec(value).map_or(0, |bytes| bytes.len() as u64)
 }
 
-/// Returns a desired state that fills so many workers, and so many tasks more.
+/// Returns a desired state that gives each of the workers its usual tasks, plus a number of extra
+/// batch tasks.
 #[must_use]
-pub fn filled(workers: usize, more: u32) -> String {
+pub fn full_config(workers: usize, extra_tasks: u32) -> String {
     let workers = u32::try_from(workers).unwrap_or(u32::MAX);
-    let (services, batch) = (workers * SERVICES, workers * BATCH);
+    let (services, batch) = (workers * SERVICES_PER_WORKER, workers * BATCH_PER_WORKER);
     let mut text = String::from(
         "[[class]]\nname = \"p100\"\npriority = 100\n[[class]]\nname = \"p1\"\npriority = 1\n\
          [[team]]\nname = \"ours\"\n[[hall]]\nname = \"hall\"\n",
@@ -283,11 +286,11 @@
         "[[service]]\nname = \"service\"\nteam = \"ours\"\nclass = \"p100\"\nhalls = [\"hall\"]\n\
          count = {services}\ncpu_milli = 2000\nmem_mb = 4000\nlatency_target_ms = 50\n"
     ));
-    for (name, tasks) in [("batch", batch), ("more", more)] {
+    for (name, tasks) in [("batch", batch), ("more", extra_tasks)] {
         if tasks > 0 {
             text.push_str(&format!(
                 "[[job]]\nname = \"{name}\"\nteam = \"ours\"\nclass = \"p1\"\nhalls = [\"hall\"]\n\
-                 tasks = {tasks}\ncpu_milli = 2000\nmem_mb = 4000\nrun_time_ms = {LONG_MS}\n\
+                 tasks = {tasks}\ncpu_milli = 2000\nmem_mb = 4000\nrun_time_ms = {RUN_TIME_MS}\n\
                  checkpoint = true\n"
             ));
         }
--- a/crates/bench/src/host.rs
+++ b/crates/bench/src/host.rs
@@ -1,4 +1,4 @@
-//! The traffic of a host, and what it reads.
+//! The request path of one host and the routing snapshot that it reads, for cost measurements.
 
 use std::collections;
 use std::sync;
@@ -8,32 +8,34 @@
 
 use crate::hall;
 
-/// Makes the traffic of a host with default settings.
+/// Creates the request path of a host with default settings.
 ///
 /// # Panics
-/// Panics on settings with faults, which would be a fault of the bench.
+/// Panics if the built-in settings are invalid, which would be a bug in this crate.
 #[must_use]
 pub fn traffic() -> traffic::Traffic {
     let text = "host = \"h\"\nhall = \"a\"\n[listen]\ncaller = \"127.0.0.1:0\"\n\
                 operator = \"127.0.0.1:0\"\npeer = \"127.0.0.1:0\"\n\
                 [platform]\naddr = \"127.0.0.1:1\"\n";
-    let settings = settings::parse(text).expect("the bench's own settings");
+    let settings = settings::parse(text).expect("built-in settings are valid");
     let clock: sync::Arc<dyn clock::Clock> = sync::Arc::new(clock::SystemClock::new());
-    let metrics = metrics::Metrics::new().expect("metrics");
+    let metrics = metrics::Metrics::new().expect("metrics are registered");
     traffic::Traffic::new(&settings, clock, metrics, 1)
 }
 
-/// Returns what traffic reads, with endpoints of any services and so many hosts.
+/// Returns a routing snapshot with the given endpoints, grouped by service, for a number of hosts.
 ///
 /// # Panics
-/// Panics on a text with faults, which would be a fault of the bench.
+/// Panics if the built-in desired state is invalid, which would be a bug in this crate.
 #[must_use]
-pub fn snapshot(all: &[endpoints::Endpoint], hosts: usize) -> traffic::Snapshot {
+pub fn snapshot(table: &[endpoints::Endpoint], hosts: usize) -> traffic::Snapshot {
     let mut endpoints: collections::BTreeMap<id::ServiceId, Vec<_>> = collections::BTreeMap::new();
     let mut services = collections::BTreeMap::new();
-    let desired = desired::parse(&hall::filled(1, 0)).expect("the bench's own text");
-    let service = desired.services.values().next().expect("its one service");
-    for endpoint in all {
+    let desired =
+        desired::parse(&hall::full_config(1, 0)).expect("built-in desired state is valid");
+    let service =
+        desired.services.values().next().expect("the built-in desired state has a service");
+    for endpoint in table {
         services.insert(endpoint.service.clone(), service.clone());
         let entry = (id::HallId::from("hall"), endpoint.clone());
         endpoints.entry(endpoint.service.clone()).or_default().push(entry);
--- a/crates/bench/src/harm.rs
+++ b/crates/bench/src/interference.rs
@@ -1,4 +1,7 @@
-//! Decision 4: batch work beside services, with harm that differs by pair and shifts with load.
+//! Decision 4: batch work beside services.
+//!
+//! The interference differs by pair of service and job and changes with the load. The engine sees
+//! it only through delayed digests, as it does from real hosts.
 
 use std::collections;
 use std::time;
@@ -9,98 +12,98 @@
 
 use crate::table;
 
-/// How long each run lasts.
+/// How long each run lasts, in virtual time.
 const DURATION: time::Duration = time::Duration::from_secs(480);
-/// How long the load stays low or high.
-const PHASE: time::Duration = time::Duration::from_secs(80);
-/// How often hosts tell what they saw.
-const INTERVAL: time::Duration = time::Duration::from_secs(1);
-/// How late the holder hears of it, in intervals.
-const LATE: usize = 2;
-/// The latency target, in milliseconds.
+/// How long the load stays low or high before it changes.
+const LOAD_PHASE: time::Duration = time::Duration::from_secs(80);
+/// How often hosts send a digest.
+const DIGEST_INTERVAL: time::Duration = time::Duration::from_secs(1);
+/// How many intervals pass until the holder receives a digest.
+const DIGEST_DELAY: usize = 2;
+/// The latency target of the service, in milliseconds.
 const TARGET_MS: u64 = 50;
-/// The share of the target that a service takes alone.
-const ALONE: f64 = 0.5;
+/// The latency of a service without interference, as a share of the target.
+const BASE_RATIO: f64 = 0.5;
 
-/// The sites of a file.
+/// The contents of `data/sites.toml`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Sites {
-    /// The sites in their order.
+    /// The sites, in the order of the table.
     site: Vec<Site>,
 }
 
-/// A site with its work.
+/// The shape of a site: its workers and the tasks that they run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Site {
-    /// Its name.
+    /// The name in the table.
     pub name: String,
     /// The number of workers.
     workers: usize,
-    /// The processors of each, in thousandths.
+    /// The processor capacity of a worker, in thousandths of a core.
     cpu_milli: u64,
-    /// The processors of a service task.
+    /// The processors of a service task, in thousandths of a core.
     service_milli: u64,
-    /// The processors of a batch task.
+    /// The processors of a batch task, in thousandths of a core.
     batch_milli: u64,
-    /// Batch tasks of each job for each worker, in hundredths.
+    /// The batch tasks of each job per worker, in hundredths.
     tasks_percent: usize,
-    /// The harm of one task of each job at full load.
+    /// The interference by one task of each job at full load, relative to the latency without it.
     harms: [f64; 4],
 }
 
 /// Returns the sites of `data/sites.toml`.
 ///
 /// # Panics
-/// Panics on data with faults, which would be a fault of the bench.
+/// Panics if the data is invalid, which would be a bug in this crate.
 #[must_use]
 pub fn sites() -> Vec<Site> {
     let text = include_str!("../data/sites.toml");
-    toml::from_str::<Sites>(text).expect("the bench's own data").site
+    toml::from_str::<Sites>(text).expect("built-in data is valid").site
 }
 
 impl Site {
-    /// Returns a part of the site.
+    /// Returns the site with another number of workers.
     #[must_use]
-    pub fn part(&self, workers: usize) -> Self {
+    pub fn with_workers(&self, workers: usize) -> Self {
         Self { workers, ..self.clone() }
     }
 }
 
-/// A way to place and to react.
+/// A policy for placement and for the reaction to missed targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The first worker with room, and no reaction.
+    /// Places tasks on the first worker with room and never reacts.
     FirstFit,
-    /// The first worker with room, and an eviction at the first breach.
+    /// Places tasks on the first worker with room and evicts at the first missed target.
     EvictAtOnce,
-    /// The product's three loops.
+    /// The scheduler's own control loops for placement, throttling and eviction.
     Product,
-    /// The product's loops, with the true harm known from the start.
+    /// The scheduler's control loops, with the true interference known from the start.
     KnowsHarm,
 }
 
-/// What came of a run.
+/// The result of one run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Row {
-    /// Seconds of service tasks.
+    /// Seconds that service tasks ran, over all of them.
     pub seconds: u64,
-    /// Of them, seconds over the target.
-    pub over: u64,
-    /// The sum by which the target was missed.
-    pub missed: f64,
-    /// Batch tasks that came to their end.
-    pub done: u64,
-    /// Evictions.
+    /// Of these, the seconds in which the latency exceeded the target.
+    pub seconds_over: u64,
+    /// The sum of the excess latency in these seconds, as multiples of the target.
+    pub excess: f64,
+    /// Batch tasks that completed.
+    pub completed: u64,
+    /// Evictions of batch tasks because of interference.
     pub evictions: u64,
-    /// Throttles.
+    /// Throttle steps applied to batch tasks.
     pub throttles: u64,
-    /// Promises broken.
-    pub broken: usize,
+    /// Violations found by the history checker.
+    pub violations: usize,
 }
 
-/// Runs a site under a policy.
+/// Runs a site under a policy for a duration of virtual time.
 #[must_use]
 pub fn run(site: &Site, policy: Policy, duration: time::Duration) -> Row {
     let settings = settings(policy);
@@ -112,27 +115,27 @@
     if let Some(machine) = world.machines.get_mut(&"worker-3".into()) {
         machine.faults.fail_all = true;
     }
-    world.apply(&desired(site));
+    world.apply(&desired_state(site));
     world.run_until(time::Duration::from_secs(3));
     if policy == Policy::KnowsHarm {
-        world.tell_holder(hall::Event::Harms(true_harms(site)));
+        world.tell_holder(hall::Event::Harms(true_model(site)));
     }
     let mut row = Row::default();
-    let mut late = collections::VecDeque::new();
+    let mut delayed_digests = collections::VecDeque::new();
     while world.now < duration {
-        world.run_until(world.now + INTERVAL);
-        let rush = (world.now.as_secs() / PHASE.as_secs()) % 2 == 1;
-        late.push_back(observe(&world, site, if rush { 1.0 } else { 0.3 }, &mut row));
-        if late.len() > LATE
-            && let Some(digest) = late.pop_front()
+        world.run_until(world.now + DIGEST_INTERVAL);
+        let is_peak = (world.now.as_secs() / LOAD_PHASE.as_secs()) % 2 == 1;
+        delayed_digests.push_back(observe(&world, site, if is_peak { 1.0 } else { 0.3 }, &mut row));
+        if delayed_digests.len() > DIGEST_DELAY
+            && let Some(digest) = delayed_digests.pop_front()
         {
             world.tell_holder(hall::Event::Digest(digest));
         }
     }
-    finish(&world, row)
+    add_totals(&world, row)
 }
 
-/// Returns the times and weights of a policy.
+/// Returns the engine's settings under a policy.
 fn settings(policy: Policy) -> hall::Settings {
     let mut settings = hall::Settings::default();
     let first_fit = placement::Weights { unused: 0.0, harm: 0.0, spread: 0.5 };
@@ -156,8 +159,8 @@
     settings
 }
 
-/// Returns the work of a site, with one job that fits nowhere.
-fn desired(site: &Site) -> String {
+/// Returns the desired state of a site. It includes one job that fits on no worker.
+fn desired_state(site: &Site) -> String {
     let mut text = format!(
         "[[class]]\nname = \"paid\"\npriority = 100\n[[class]]\nname = \"spare\"\npriority = 1\n\
          [[team]]\nname = \"ours\"\n[[hall]]\nname = \"hall\"\n[[service]]\nname = \"service\"\n\
@@ -168,11 +171,11 @@
     for job in 0..site.harms.len() {
         let tasks = site.workers * site.tasks_percent / 100;
         let cpu = site.batch_milli;
-        let save = if job % 2 == 0 { "checkpoint = true\n" } else { "" };
+        let checkpoint_line = if job % 2 == 0 { "checkpoint = true\n" } else { "" };
         text.push_str(&format!(
             "[[job]]\nname = \"job-{job}\"\nteam = \"ours\"\nclass = \"spare\"\n\
              halls = [\"hall\"]\ntasks = {tasks}\ncpu_milli = {cpu}\nmem_mb = 10\n\
-             run_time_ms = 90000\n{save}"
+             run_time_ms = 90000\n{checkpoint_line}"
         ));
     }
     text.push_str(
@@ -182,28 +185,29 @@
     text
 }
 
-/// Returns the harm of each pair as it truly is.
-fn true_harms(site: &Site) -> interference::Model {
-    let mut harms = interference::Model::default();
+/// Returns a model with the true interference of each pair.
+fn true_model(site: &Site) -> interference::Model {
+    let mut model = interference::Model::default();
     for (job, harm) in site.harms.iter().enumerate() {
-        harms.set("service", &format!("job-{job}"), harm * ALONE, 1.0 - ALONE);
+        model.set("service", &format!("job-{job}"), harm * BASE_RATIO, 1.0 - BASE_RATIO);
     }
-    harms
+    model
 }
 
-/// Returns what the hosts see in one interval, and counts it.
+/// Returns the digest of one interval and adds the interval to the result.
 fn observe(world: &world::World, site: &Site, load: f64, row: &mut Row) -> digest::Digest {
     let mut endpoints = Vec::new();
     for machine in world.machines.values() {
-        let harm: f64 = machine.shares().map(|(task, percent)| harm_of(site, task, percent)).sum();
-        let ratio = ALONE * (1.0 + harm * load);
+        let total: f64 =
+            machine.shares().map(|(task, percent)| interference_of(site, task, percent)).sum();
+        let ratio = BASE_RATIO * (1.0 + total * load);
         for service in machine.services() {
             row.seconds += 1;
             if ratio <= 1.0 {
                 continue;
             }
-            row.over += 1;
-            row.missed += ratio - 1.0;
+            row.seconds_over += 1;
+            row.excess += ratio - 1.0;
             let p95_us = (ratio * TARGET_MS as f64 * 1_000.0) as u64;
             endpoints.push(digest::EndpointStats {
                 task: service,
@@ -217,18 +221,18 @@
     digest::Digest { host: "entry-0".into(), hall: world::HALL.into(), endpoints }
 }
 
-/// Returns the harm that a task does at full load with its share of processors.
-fn harm_of(site: &Site, task: &id::TaskId, percent: u8) -> f64 {
+/// Returns the interference by a task at full load, given its share of processors in percent.
+fn interference_of(site: &Site, task: &id::TaskId, percent: u8) -> f64 {
     let job = task.owner.strip_prefix("job-").and_then(|job| job.parse::<usize>().ok());
     job.map_or(0.0, |job| site.harms[job] * f64::from(percent) / 100.0)
 }
 
-/// Counts what the whole run came to.
-fn finish(world: &world::World, mut row: Row) -> Row {
+/// Adds the totals of the whole run to the result.
+fn add_totals(world: &world::World, mut row: Row) -> Row {
     let events = world.history.events();
-    let done = |event: &&history::Event| matches!(event, history::Event::Completed { .. });
-    row.done = events.iter().filter(done).count() as u64;
-    row.broken = wharflane_stand_in::checker::check(&events).len();
+    let is_completion = |event: &&history::Event| matches!(event, history::Event::Completed { .. });
+    row.completed = events.iter().filter(is_completion).count() as u64;
+    row.violations = wharflane_stand_in::checker::check(&events).len();
     if let Some(counters) = world.holding().map(hall::Holding::counters) {
         row.evictions = counters.evicted.get(&task_table::Cause::Harm).copied().unwrap_or(0);
         row.throttles = counters.throttled;
@@ -236,7 +240,7 @@
     row
 }
 
-/// Prints the result.
+/// Measures and prints the table.
 pub fn print() {
     let mut table = table::Table::new(&[
         "site",
@@ -254,12 +258,12 @@
             table.row(vec![
                 site.name.clone(),
                 format!("{policy:?}"),
-                table::percent(row.over, row.seconds),
-                format!("{:.0}", row.missed),
-                row.done.to_string(),
+                table::percent(row.seconds_over, row.seconds),
+                format!("{:.0}", row.excess),
+                row.completed.to_string(),
                 row.evictions.to_string(),
                 row.throttles.to_string(),
-                row.broken.to_string(),
+                row.violations.to_string(),
             ]);
         }
     }
--- a/crates/bench/src/journal.rs
+++ b/crates/bench/src/journal.rs
@@ -1,4 +1,4 @@
-//! The scores of the users' bench by commit, from `journal/`, as a table and a plot.
+//! Scores of past commits, read from the journal of scoring runs, as a table and a bar chart.
 
 use std::fs;
 use std::path;
@@ -7,102 +7,103 @@
 
 use crate::table;
 
-/// Where the users' bench leaves its entries.
-const FOLDER: &str = "journal";
-/// The width of a whole bar of the plot.
-const WIDTH: f64 = 50.0;
+/// The folder of journal entries, relative to the root of the tree.
+const JOURNAL_DIR: &str = "journal";
+/// The length of the bar for a mean worth of 1, in characters.
+const BAR_WIDTH: f64 = 50.0;
 
-/// One entry, as far as it is read here.
+/// A journal entry; fields that are not used here are ignored.
 #[derive(Deserialize)]
 struct Entry {
-    /// When it was started and when it ended.
+    /// The start and end times of the run.
     at: Vec<String>,
-    /// What was run.
+    /// The command that was run.
     cmd: String,
     /// The commit that was measured.
     head: String,
-    /// The site; nothing in an entry of a run that did not end.
+    /// The site; `None` if the run did not finish.
     site: Option<String>,
-    /// The score.
+    /// The score over all days, if there is one.
     score: Option<f64>,
-    /// The days.
+    /// The days that were played.
     days: Vec<Day>,
 }
 
-/// One day of an entry.
+/// The result of one day of an entry.
 #[derive(Deserialize)]
 struct Day {
-    /// Its name.
+    /// The name of the day.
     name: String,
-    /// What it was worth.
+    /// The worth of the day.
     #[serde(rename = "G")]
     worth: f64,
 }
 
-/// Why the journal could not be shown.
+/// The reason why the journal could not be printed.
 #[derive(Debug, thiserror::Error)]
 pub enum JournalError {
     /// The folder or an entry could not be read.
-    #[error("{path} can't be read")]
+    #[error("cannot read {path}")]
     Read {
-        /// What was read.
+        /// The folder or the entry.
         path: path::PathBuf,
-        /// The reason.
+        /// The cause.
         #[source]
         source: std::io::Error,
     },
-    /// An entry is not of the form that is known.
-    #[error("{path} is no entry")]
-    Form {
-        /// The entry.
+    /// An entry does not have the expected form.
+    #[error("{path} is not a valid journal entry")]
+    MalformedEntry {
+        /// The path of the entry.
         path: path::PathBuf,
-        /// The reason.
+        /// The cause.
         #[source]
         source: serde_json::Error,
     },
 }
 
-/// Prints all whole scores.
+/// Prints the scores of all finished scoring runs.
 ///
 /// # Errors
-/// Returns `JournalError` where an entry can't be read.
+/// Returns `JournalError` if the folder or an entry can't be read.
 pub fn print() -> Result<(), JournalError> {
     let entries = read()?;
-    let mut shown = table::Table::new(&["when", "commit", "site", "score", "mean worth", "days"]);
+    let mut rows = table::Table::new(&["when", "commit", "site", "score", "mean worth", "days"]);
     for entry in &entries {
-        let days = standard(entry).map(|day| format!("{} {:.3}", day.name, day.worth));
-        shown.row(vec![
+        let days = standard_days(entry).map(|day| format!("{} {:.3}", day.name, day.worth));
+        rows.row(vec![
             entry.at.first().cloned().unwrap_or_default(),
             entry.head.chars().take(8).collect(),
             entry.site.clone().unwrap_or_default(),
             entry.score.map(|score| format!("{score:.3}")).unwrap_or_default(),
-            format!("{:.3}", mean(entry)),
+            format!("{:.3}", mean_worth(entry)),
             days.collect::<Vec<_>>().join(", "),
         ]);
     }
-    shown.print();
+    rows.print();
     for entry in &entries {
-        let bar = "#".repeat((mean(entry) * WIDTH).round() as usize);
+        let bar = "#".repeat((mean_worth(entry) * BAR_WIDTH).round() as usize);
         let site = entry.site.as_deref().unwrap_or_default();
         let commit: String = entry.head.chars().take(8).collect();
-        println!("{commit} {site:18} {bar} {:.3}", mean(entry));
+        println!("{commit} {site:18} {bar} {:.3}", mean_worth(entry));
     }
     Ok(())
 }
 
-/// Reads the entries of all scores that came to their end, the oldest first.
+/// Reads the entries of finished scoring runs, oldest first.
 fn read() -> Result<Vec<Entry>, JournalError> {
-    let folder = path::PathBuf::from(FOLDER);
-    let failed = |path: &path::Path, source| JournalError::Read { path: path.to_owned(), source };
-    let listed = fs::read_dir(&folder).map_err(|source| failed(&folder, source))?;
+    let folder = path::PathBuf::from(JOURNAL_DIR);
+    let read_error =
+        |path: &path::Path, source| JournalError::Read { path: path.to_owned(), source };
+    let listed = fs::read_dir(&folder).map_err(|source| read_error(&folder, source))?;
     let mut paths: Vec<path::PathBuf> = listed.flatten().map(|entry| entry.path()).collect();
     paths.retain(|path| path.extension().is_some_and(|ext| ext == "json"));
     paths.sort();
     let mut entries = Vec::new();
     for path in paths {
-        let text = fs::read_to_string(&path).map_err(|source| failed(&path, source))?;
+        let text = fs::read_to_string(&path).map_err(|source| read_error(&path, source))?;
         let entry: Entry = serde_json::from_str(&text)
-            .map_err(|source| JournalError::Form { path: path.clone(), source })?;
+            .map_err(|source| JournalError::MalformedEntry { path: path.clone(), source })?;
         if entry.cmd == "score" && entry.site.is_some() {
             entries.push(entry);
         }
@@ -110,13 +111,14 @@
     Ok(entries)
 }
 
-/// Returns the standard days of a score; the one drawn just now counts for the gate alone.
-fn standard(entry: &Entry) -> impl Iterator<Item = &Day> {
+/// Returns the standard days of an entry. Freshly drawn days are left out: they differ between runs
+/// and serve as a pass-or-fail gate only.
+fn standard_days(entry: &Entry) -> impl Iterator<Item = &Day> {
     entry.days.iter().filter(|day| !day.name.starts_with("fresh"))
 }
 
 /// Returns the mean worth of the standard days.
-fn mean(entry: &Entry) -> f64 {
-    let worths: Vec<f64> = standard(entry).map(|day| day.worth).collect();
+fn mean_worth(entry: &Entry) -> f64 {
+    let worths: Vec<f64> = standard_days(entry).map(|day| day.worth).collect();
     worths.iter().sum::<f64>() / worths.len().max(1) as f64
 }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,4 +1,8 @@
-//! Measures the decisions in virtual time, and what a host and a hall cost.
+//! Measurements behind the design decisions, in virtual time, and of the resources that hosts and
+//! halls use.
+//!
+//! Each module measures one subject and prints its result as Markdown tables. Runs in virtual time
+//! give the same counts for the same seed; processor time and memory depend on the machine.
 
 pub mod ablate;
 pub mod capacity;
@@ -7,12 +11,12 @@
 pub mod fleet;
 pub mod forwarder;
 pub mod hall;
-pub mod harm;
 pub mod host;
+pub mod interference;
 pub mod journal;
 pub mod limits;
 pub mod load;
-pub mod plays;
+pub mod player;
 pub mod queueing;
 pub mod recovery;
 pub mod routing;
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,22 +1,22 @@
-//! A load on hosts and endpoints, and what comes of it.
+//! The setup of a simulated load on hosts and endpoints, and its outcome.
 
 use std::time;
 
 use serde::Deserialize;
 
-/// The largest latency that is told apart, in microseconds.
-pub const MAX_US: u64 = 600_000_000;
+/// The largest latency that histograms record, in microseconds.
+pub const MAX_LATENCY_US: u64 = 600_000_000;
 
 /// How hosts share the slots of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sharing {
-    /// Slots are dealt out to hosts once.
+    /// Slots are divided among hosts once.
     Fixed,
-    /// Slots are dealt out anew each second by the hosts' demand, which they tell each other.
+    /// Slots are divided anew each second by the demand that hosts report to each other.
     Demand,
-    /// Every host uses every endpoint, and a full one refuses.
+    /// Every host uses every endpoint, and a full endpoint refuses requests.
     Optimistic,
-    /// As before, and each host learns from refusals how much room it has at each endpoint.
+    /// As `Optimistic`, and each host learns a window for each endpoint from its refusals.
     Window,
     /// Every endpoint belongs to one host.
     Owner,
@@ -25,183 +25,186 @@
 /// How a host chooses among endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// Any.
+    /// A random endpoint with room.
     Random,
-    /// The one with the fewest requests of this host.
+    /// The endpoint with the fewest requests of this host in flight.
     LeastConnections,
-    /// The better of two by requests in flight and recent latency, leaving bad ones.
+    /// The better of two random endpoints by requests in flight and recent latency; failing ones
+    /// are ejected.
     TwoChoices,
 }
 
-/// What is wrong with an endpoint.
+/// The condition of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
-    /// Nothing.
+pub enum Condition {
+    /// Serves requests as usual.
     Well,
-    /// Requests take so many times longer.
+    /// Takes longer for each request by this factor.
     Slow(f64),
-    /// Requests fail at once.
+    /// Fails requests at once.
     FailFast,
-    /// Requests are never answered.
+    /// Never answers.
     Hang,
 }
 
-/// What is done with requests that find no free endpoint.
+/// How a host queues requests that find no free endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Waiting {
-    /// The product's queue.
+pub enum QueuePolicy {
+    /// The scheduler's own queue, bounded and ordered by priority.
     Bounded,
-    /// First come, first served, without an end.
+    /// An unbounded first-in, first-out queue.
     Endless,
 }
 
-/// A load and what serves it.
+/// A load, the hosts and endpoints that serve it, and their policies.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// The number of hosts.
     pub hosts: usize,
     /// The number of endpoints.
     pub endpoints: usize,
-    /// The slots of each endpoint.
+    /// Requests that an endpoint runs at a time.
     pub slots: u32,
-    /// The connections that each endpoint takes.
+    /// Connections that an endpoint accepts.
     pub connections: u32,
-    /// The mean time of a request.
+    /// The mean service time of a request.
     pub service: time::Duration,
-    /// Requests a second.
+    /// Requests per second over all hosts.
     pub rate: f64,
-    /// The share of requests that the first host takes; the others take the rest evenly.
+    /// The share of requests that the first host receives; the others receive equal shares of the
+    /// rest.
     pub first_share: f64,
     /// The share of requests that paid for priority.
     pub paid_share: f64,
-    /// How long the load lasts.
+    /// For how long requests arrive.
     pub duration: time::Duration,
-    /// How long a caller waits.
-    pub patience: time::Duration,
-    /// How slots are shared.
+    /// How long a caller waits for an answer.
+    pub caller_timeout: time::Duration,
+    /// How slots are shared among hosts.
     pub sharing: Sharing,
-    /// How endpoints are chosen.
+    /// How a host chooses an endpoint.
     pub choice: Choice,
-    /// What is done with requests that must wait.
-    pub waiting: Waiting,
-    /// What is wrong with each endpoint and until when.
-    pub troubles: Vec<(Trouble, time::Duration)>,
-    /// Most tries of a request.
-    pub tries: u32,
-    /// Whether retries are bounded by the budget.
-    pub budget: bool,
+    /// How a host queues requests that find no free endpoint.
+    pub queue_policy: QueuePolicy,
+    /// The condition of each endpoint and the time until which it holds.
+    pub conditions: Vec<(Condition, time::Duration)>,
+    /// The most attempts of a request, refusals by full endpoints not counted.
+    pub max_attempts: u32,
+    /// Whether a retry budget bounds retries.
+    pub retry_budget: bool,
 }
 
-/// The endpoints of `data/endpoints.toml`.
+/// The contents of `data/endpoints.toml`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Endpoints {
-    /// Their number.
+    /// The number of endpoints.
     endpoints: usize,
-    /// The slots of each.
+    /// Requests that an endpoint runs at a time.
     slots: u32,
-    /// The connections that each takes.
+    /// Connections that an endpoint accepts.
     connections: u32,
-    /// The mean time of a request, in milliseconds.
+    /// The mean service time of a request, in milliseconds.
     service_ms: u64,
     /// The share of requests that paid for priority.
     paid_share: f64,
-    /// How long a caller waits, in milliseconds.
+    /// How long a caller waits for an answer, in milliseconds.
     patience_ms: u64,
 }
 
 impl Setup {
-    /// Returns the endpoints of `data/endpoints.toml` under a share of their capacity.
+    /// Returns a setup with the endpoints of `data/endpoints.toml` and a load given as a share of
+    /// their capacity.
     ///
     /// # Panics
-    /// Panics on data with faults, which would be a fault of the bench.
+    /// Panics if the data is invalid, which would be a bug in this crate.
     #[must_use]
-    pub fn shared(hosts: usize, load: f64) -> Self {
+    pub fn with_load(hosts: usize, load: f64) -> Self {
         let text = include_str!("../data/endpoints.toml");
-        let shape: Endpoints = toml::from_str(text).expect("the bench's own data");
-        let service = time::Duration::from_millis(shape.service_ms);
-        let asked_slots = load * shape.endpoints as f64 * f64::from(shape.slots);
+        let data: Endpoints = toml::from_str(text).expect("built-in data is valid");
+        let service = time::Duration::from_millis(data.service_ms);
+        let busy_slots = load * data.endpoints as f64 * f64::from(data.slots);
         Self {
             hosts,
-            endpoints: shape.endpoints,
-            slots: shape.slots,
-            connections: shape.connections,
+            endpoints: data.endpoints,
+            slots: data.slots,
+            connections: data.connections,
             service,
-            rate: asked_slots / service.as_secs_f64(),
+            rate: busy_slots / service.as_secs_f64(),
             first_share: 1.0 / hosts as f64,
-            paid_share: shape.paid_share,
+            paid_share: data.paid_share,
             duration: time::Duration::from_secs(6),
-            patience: time::Duration::from_millis(shape.patience_ms),
+            caller_timeout: time::Duration::from_millis(data.patience_ms),
             sharing: Sharing::Window,
             choice: Choice::TwoChoices,
-            waiting: Waiting::Bounded,
-            troubles: vec![(Trouble::Well, time::Duration::ZERO); shape.endpoints],
-            tries: 3,
-            budget: true,
+            queue_policy: QueuePolicy::Bounded,
+            conditions: vec![(Condition::Well, time::Duration::ZERO); data.endpoints],
+            max_attempts: 3,
+            retry_budget: true,
         }
     }
 }
 
-/// What came of a load.
+/// The outcome of a load.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// Latency of answers in time, in microseconds.
     pub latency_us: hdrhistogram::Histogram<u64>,
-    /// Requests.
-    pub asked: u64,
-    /// Answers in time.
+    /// Requests that arrived.
+    pub offered: u64,
+    /// Requests answered in time.
     pub answered: u64,
-    /// Answers in time to requests that paid for priority.
+    /// Requests answered in time that had paid for priority.
     pub paid_answered: u64,
-    /// Requests that paid for priority.
+    /// Requests that arrived and had paid for priority.
     pub paid: u64,
     /// Requests refused before they ran.
     pub refused: u64,
-    /// The time that refused requests waited for their final answer, in microseconds.
+    /// The time from arrival to refusal, in microseconds.
     pub refusal_us: hdrhistogram::Histogram<u64>,
-    /// Requests that ended otherwise without an answer in time.
+    /// Requests that ended without an answer in time, other than by refusal.
     pub failed: u64,
-    /// Tries.
-    pub tries: u64,
-    /// Tries refused by a full endpoint.
-    pub full: u64,
-    /// Tries at endpoints in trouble.
-    pub at_trouble: u64,
-    /// Bytes of control that each host sends a second.
-    pub control_bytes: f64,
-    /// When a try was last made at an endpoint in trouble, from its start on.
-    pub left_after: time::Duration,
-    /// When an endpoint that is well again was first used after its trouble.
-    pub used_again: Option<time::Duration>,
+    /// Attempts sent to endpoints, retries included.
+    pub attempts: u64,
+    /// Attempts refused because the endpoint was full.
+    pub full_refusals: u64,
+    /// Attempts sent to endpoints while they were faulty.
+    pub faulty_attempts: u64,
+    /// Control traffic that each host sends, in bytes per second.
+    pub control_bytes_per_s: f64,
+    /// When the last attempt reached a faulty endpoint, from the start of the run.
+    pub last_faulty_attempt: time::Duration,
+    /// How long after its recovery an endpoint was first used again; `None` if it never was.
+    pub reused_after: Option<time::Duration>,
 }
 
 impl Outcome {
-    /// Returns the outcome of a load that has not begun.
+    /// Returns an outcome with all counters at zero.
     ///
     /// # Panics
-    /// Panics on bounds of latency that are no bounds, which are fixed here.
+    /// Panics if the bounds of the histograms are invalid; they are constants.
     #[must_use]
     pub fn empty() -> Self {
-        let histogram = || hdrhistogram::Histogram::new_with_max(MAX_US, 3);
+        let histogram = || hdrhistogram::Histogram::new_with_max(MAX_LATENCY_US, 3);
         Self {
-            latency_us: histogram().expect("bounds are fixed"),
-            refusal_us: histogram().expect("bounds are fixed"),
-            asked: 0,
+            latency_us: histogram().expect("bounds are valid"),
+            refusal_us: histogram().expect("bounds are valid"),
+            offered: 0,
             answered: 0,
             paid_answered: 0,
             paid: 0,
             refused: 0,
             failed: 0,
-            tries: 0,
-            full: 0,
-            at_trouble: 0,
-            control_bytes: 0.0,
-            left_after: time::Duration::ZERO,
-            used_again: None,
+            attempts: 0,
+            full_refusals: 0,
+            faulty_attempts: 0,
+            control_bytes_per_s: 0.0,
+            last_faulty_attempt: time::Duration::ZERO,
+            reused_after: None,
         }
     }
 
-    /// Returns a latency quantile in milliseconds.
+    /// Returns a quantile of the latency in milliseconds.
     #[must_use]
     pub fn quantile_ms(&self, share: f64) -> f64 {
         self.latency_us.value_at_quantile(share) as f64 / 1_000.0
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,51 +1,55 @@
-//! Runs one measurement and prints its table.
+//! The command line: every subcommand runs one measurement and prints its tables.
 
 use std::alloc;
 use std::path;
 use wharflane_bench::{
-    capacity, compare, crashes, forwarder, harm, journal, limits, plays, recovery, routing, sharing,
+    capacity, compare, crashes, forwarder, interference, journal, limits, player, recovery,
+    routing, sharing,
 };
 
-/// Counts what is allocated.
+/// Counts allocations, so that measurements can report the memory in use.
 #[global_allocator]
-static ALLOC: &stats_alloc::StatsAlloc<alloc::System> = &stats_alloc::INSTRUMENTED_SYSTEM;
+static ALLOCATOR: &stats_alloc::StatsAlloc<alloc::System> = &stats_alloc::INSTRUMENTED_SYSTEM;
 
 fn main() -> anyhow::Result<()> {
     let commands = [
-        clap::Command::new("sharing").about("Decision 1: slots shared between hosts"),
-        clap::Command::new("routing").about("Decision 2: choice of an endpoint"),
-        clap::Command::new("limits").about("Decision 3: limits, priorities, retries"),
+        clap::Command::new("sharing").about("Decision 1: sharing of slots among hosts"),
+        clap::Command::new("routing").about("Decision 2: choice of endpoints"),
+        clap::Command::new("limits").about("Decision 3: limits, priorities and retries"),
         clap::Command::new("harm").about("Decision 4: batch work beside services"),
-        clap::Command::new("placement").about("Decision 5: placement and recovery of a hall"),
-        clap::Command::new("capacity").about("The slopes behind docs/CAPACITY.md"),
-        clap::Command::new("decisions").about("What one start costs the holder of a domain").arg(
-            clap::Arg::new("workers")
-                .long("workers")
-                .help("Only the size with so many workers")
-                .value_parser(clap::value_parser!(usize)),
-        ),
-        clap::Command::new("crashes").about("Tasks under which workers crash").arg(
+        clap::Command::new("placement").about("Decision 5: placement in a hall and its recovery"),
+        clap::Command::new("capacity")
+            .about("Costs from which docs/CAPACITY.md derives its slopes"),
+        clap::Command::new("decisions")
+            .about("Cost of one task start for the holder of a domain")
+            .arg(
+                clap::Arg::new("workers")
+                    .long("workers")
+                    .help("Measure only the size with this number of workers")
+                    .value_parser(clap::value_parser!(usize)),
+            ),
+        clap::Command::new("crashes").about("Decision 11: tasks that crash their workers").arg(
             clap::Arg::new("seeds")
                 .long("seeds")
-                .help("How many worlds for each row")
+                .help("Number of simulated worlds for each row")
                 .default_value("100")
                 .value_parser(clap::value_parser!(u64)),
         ),
-        clap::Command::new("journal").about("Scores of the users' bench by commit"),
-        clap::Command::new("forwarder").about("A host's cost against a bare forwarder"),
+        clap::Command::new("journal").about("Scores of past commits from the journal"),
+        clap::Command::new("forwarder").about("Cost of a host compared with a minimal forwarder"),
         compare_command(),
     ];
     let command = clap::Command::new("wharflane-bench")
-        .about("Measures decisions and costs")
+        .about("Measures design decisions and resource costs")
         .subcommand_required(true)
         .subcommands(commands);
     match command.get_matches().subcommand() {
         Some(("sharing", _)) => sharing::print(),
         Some(("routing", _)) => routing::print(),
         Some(("limits", _)) => limits::print(),
-        Some(("harm", _)) => harm::print(),
+        Some(("harm", _)) => interference::print(),
         Some(("placement", _)) => recovery::print(),
-        Some(("capacity", _)) => capacity::print(live),
+        Some(("capacity", _)) => capacity::print(allocated_bytes),
         Some(("decisions", args)) => {
             capacity::print_decisions(args.get_one("workers").copied());
         }
@@ -57,63 +61,63 @@
     Ok(())
 }
 
-/// Returns the bytes that are allocated now.
-fn live() -> usize {
-    let stats = ALLOC.stats();
+/// Returns the number of bytes that are allocated at present.
+fn allocated_bytes() -> usize {
+    let stats = ALLOCATOR.stats();
     stats.bytes_allocated.saturating_sub(stats.bytes_deallocated)
 }
 
-/// Describes the comparison of two trees.
+/// Returns the definition of the `compare` subcommand.
 fn compare_command() -> clap::Command {
-    let text = |name: &'static str, help: &'static str| {
+    let required_arg = |name: &'static str, help: &'static str| {
         clap::Arg::new(name).long(name).required(true).help(help)
     };
-    let many = |name, help| text(name, help).value_delimiter(',').num_args(1..);
+    let list_arg = |name, help| required_arg(name, help).value_delimiter(',').num_args(1..);
     clap::Command::new("compare")
-        .about("Worth of two trees, or of one without each of its mechanisms, day by day")
-        .arg(text("player", "The program that plays days"))
-        .arg(text("after", "The tree with the change, or the whole one"))
-        .arg(text("before", "The tree without the change").required(false))
-        .arg(text("ablate", "A list of mechanisms to take out").required(false))
+        .about("Worth of two source trees, or of one with and without each mechanism, by day")
+        .arg(required_arg("player", "Path of the program that plays days"))
+        .arg(required_arg("after", "Tree with the change, or the full tree for --ablate"))
+        .arg(required_arg("before", "Tree without the change").required(false))
+        .arg(required_arg("ablate", "List of mechanisms to remove one at a time").required(false))
         .group(clap::ArgGroup::new("against").args(["before", "ablate"]).required(true))
-        .arg(many("site", "Files of deployments"))
-        .arg(many("day", "Days by name"))
-        .arg(many("seed", "Seeds").value_parser(clap::value_parser!(u64)))
-        .arg(text("why", "What the player notes of each run"))
+        .arg(list_arg("site", "Files that describe deployments"))
+        .arg(list_arg("day", "Names of days"))
+        .arg(list_arg("seed", "Seeds of each day").value_parser(clap::value_parser!(u64)))
+        .arg(required_arg("why", "Note that the player records with each run"))
         .arg(
-            text("jobs", "Days at once")
+            required_arg("jobs", "Number of days that run at a time")
                 .required(false)
                 .default_value("4")
                 .value_parser(clap::value_parser!(usize)),
         )
 }
 
-/// Compares two trees, or takes one apart.
+/// Runs `compare`: two trees against each other, or one tree against itself without each mechanism.
 fn compare_trees(args: &clap::ArgMatches) -> anyhow::Result<()> {
-    let folder = |name| -> anyhow::Result<path::PathBuf> {
+    let path_of = |name| -> anyhow::Result<path::PathBuf> {
         Ok(path::absolute(args.get_one::<String>(name).map_or(".", String::as_str))?)
     };
-    let words = |name| args.get_many::<String>(name).into_iter().flatten();
+    let values_of = |name| args.get_many::<String>(name).into_iter().flatten();
     let mut days = Vec::new();
-    for site in words("site") {
-        for name in words("day") {
+    for site in values_of("site") {
+        for name in values_of("day") {
             for seed in args.get_many::<u64>("seed").into_iter().flatten() {
                 let (site, name) = (path::absolute(site)?, name.clone());
-                days.push(plays::Day { site, name, seed: *seed });
+                days.push(player::Day { site, name, seed: *seed });
             }
         }
     }
-    let player = plays::Player {
-        program: folder("player")?,
-        jobs: args.get_one("jobs").copied().unwrap_or(1),
-        why: args.get_one::<String>("why").cloned().unwrap_or_default(),
+    let player = player::Player {
+        program: path_of("player")?,
+        parallelism: args.get_one("jobs").copied().unwrap_or(1),
+        note: args.get_one::<String>("why").cloned().unwrap_or_default(),
     };
     let comparison = compare::Comparison { player, days, journal: path::absolute("journal")? };
-    let after = plays::Tree { name: "change".to_owned(), folder: folder("after")? };
+    let after = player::Tree { name: "change".to_owned(), folder: path_of("after")? };
     match args.get_one::<String>("ablate") {
         Some(list) => comparison.print_ablation(&after, path::Path::new(list))?,
         None => {
-            let before = plays::Tree { name: "before".to_owned(), folder: folder("before")? };
+            let before = player::Tree { name: "before".to_owned(), folder: path_of("before")? };
             comparison.print(&before, &after)?;
         }
     }
--- a/crates/bench/src/plays.rs
+++ b/crates/bench/src/player.rs
@@ -1,7 +1,9 @@
-//! Plays days of a deployment with an outside player, in a tree of sources, and reads its reports.
+//! Runs days of a deployment with an external player program in a source tree and reads its
+//! reports.
 //!
-//! The player is started as `PLAYER run SITE DAY --seed N --no-cpu --report FILE` in the tree, and
-//! leaves a JSON report with the worth of the day and the rules that were broken.
+//! A day is a scenario of demand and faults. The player runs in the tree's root as
+//! `PLAYER run SITE DAY --seed N --no-cpu --report FILE` and writes a JSON report with the worth of
+//! the day and the rules that were broken.
 
 use std::collections;
 use std::fs;
@@ -12,108 +14,110 @@
 
 use serde::Deserialize;
 
-/// A tree of sources with the name it has in tables.
+/// A source tree and the name it has in tables.
 #[derive(Clone, Debug)]
 pub struct Tree {
-    /// The name.
+    /// The name in tables.
     pub name: String,
-    /// Its folder.
+    /// The root folder.
     pub folder: path::PathBuf,
 }
 
-/// A day of a deployment with the seed that draws what the day leaves open.
+/// A day of a deployment, with the seed for everything that the day leaves open.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Day {
-    /// The file of the deployment.
+    /// The file that describes the deployment.
     pub site: path::PathBuf,
-    /// The name of the day, or a file.
+    /// The name of the day, or the path of a file that describes it.
     pub name: String,
-    /// The seed.
+    /// The seed of the day's random choices.
     pub seed: u64,
 }
 
 impl Day {
-    /// Returns the name of the deployment.
+    /// Returns the name of the deployment, which is the stem of its file name.
     #[must_use]
     pub fn deployment(&self) -> String {
         self.site.file_stem().unwrap_or_default().to_string_lossy().into_owned()
     }
 }
 
-/// What came of a day.
+/// The player's report on one day.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Report {
-    /// What the day was worth.
+    /// The worth of the day, as the player computes it.
     #[serde(rename = "G")]
     pub worth: f64,
-    /// How often each rule was broken.
+    /// The number of violations by rule.
     pub breaks: collections::BTreeMap<String, u64>,
 }
 
-/// How days are played.
+/// The player program and its settings.
 #[derive(Clone, Debug)]
 pub struct Player {
-    /// The program.
+    /// The path of the program.
     pub program: path::PathBuf,
-    /// How many days at once.
-    pub jobs: usize,
-    /// What the player notes of each run.
-    pub why: String,
+    /// The number of days that run at a time.
+    pub parallelism: usize,
+    /// A note that the player records with each run.
+    pub note: String,
 }
 
-/// Why a day could not be played.
+/// The reason why a day could not be played.
 #[derive(Debug, thiserror::Error)]
 pub enum PlayError {
-    /// A file could not be read or written, or the player not started.
-    #[error("{path}")]
+    /// A file could not be read or written, or the player could not be started.
+    #[error("cannot access {path}")]
     Io {
-        /// Which one.
+        /// The file or program.
         path: path::PathBuf,
-        /// The reason.
+        /// The cause.
         #[source]
         source: std::io::Error,
     },
     /// The player ended without a report.
-    #[error("{day:?} in {tree} gave no report: {output}")]
+    #[error("the player wrote no report for {day:?} in {tree}: {output}")]
     NoReport {
-        /// The day.
+        /// The day that was played.
         day: Box<Day>,
-        /// The tree.
+        /// The name of the tree.
         tree: String,
-        /// The last lines of what the player said.
+        /// The last lines of the player's output.
         output: String,
     },
-    /// A report is not of the form that is known.
-    #[error("the report of {day:?} is not understood")]
-    Form {
-        /// The day.
+    /// A report does not have the expected form.
+    #[error("the report of {day:?} is malformed")]
+    MalformedReport {
+        /// The day that was played.
         day: Box<Day>,
-        /// The reason.
+        /// The cause.
         #[source]
         source: serde_json::Error,
     },
 }
 
 impl Player {
-    /// Builds a tree, so that its days don't each find it changed.
+    /// Builds a tree once, so that the runs of its days need no build. The player's exit code is
+    /// ignored.
     ///
     /// # Errors
-    /// Returns `PlayError::Io` where the player can't be started.
+    /// Returns `PlayError::Io` if the player can't be started.
     pub fn build(&self, tree: &Tree) -> Result<(), PlayError> {
-        let built = process::Command::new(&self.program)
+        let status = process::Command::new(&self.program)
             .arg("build")
             .current_dir(&tree.folder)
             .stdout(process::Stdio::null())
             .status();
-        built.map(drop).map_err(|source| io(&self.program, source))
+        status.map(drop).map_err(|source| io_error(&self.program, source))
     }
 
-    /// Plays days in trees, some at once; the reports come in the order of the plays.
+    /// Runs the days in parallel and returns the reports in the order of `plays`.
     ///
     /// # Errors
-    /// Returns the first `PlayError`.
+    /// Returns the first `PlayError` in that order.
     pub fn play_all(&self, plays: &[(&Tree, &Day)]) -> Result<Vec<Report>, PlayError> {
-        let scratch = tempfile::tempdir().map_err(|source| io(path::Path::new("tmp"), source))?;
+        let scratch =
+            tempfile::tempdir().map_err(|source| io_error(path::Path::new("tmp"), source))?;
         let next = atomic::AtomicUsize::new(0);
         let work = || {
             let mut done = Vec::new();
@@ -127,48 +131,48 @@
             }
         };
         let mut reports: Vec<(usize, Result<Report, PlayError>)> = thread::scope(|scope| {
-            let workers: Vec<_> = (0..self.jobs.max(1)).map(|_| scope.spawn(work)).collect();
+            let workers: Vec<_> = (0..self.parallelism.max(1)).map(|_| scope.spawn(work)).collect();
             workers.into_iter().filter_map(|worker| worker.join().ok()).flatten().collect()
         });
         reports.sort_by_key(|(at, _)| *at);
         reports.into_iter().map(|(_, report)| report).collect()
     }
 
-    /// Plays one day.
+    /// Runs one day and reads its report.
     fn play(&self, tree: &Tree, day: &Day, report: &path::Path) -> Result<Report, PlayError> {
         let output = process::Command::new(&self.program)
             .arg("run")
             .arg(&day.site)
             .arg(&day.name)
             .args(["--seed", &day.seed.to_string(), "--no-cpu", "--jobs", "1"])
-            .args(["--why", &self.why])
+            .args(["--why", &self.note])
             .arg("--report")
             .arg(report)
             .current_dir(&tree.folder)
             .output()
-            .map_err(|source| io(&self.program, source))?;
+            .map_err(|source| io_error(&self.program, source))?;
         let Ok(text) = fs::read_to_string(report) else {
             let output = [output.stdout, output.stderr].concat();
             return Err(PlayError::NoReport {
                 day: Box::new(day.clone()),
                 tree: tree.name.clone(),
-                output: tail(&String::from_utf8_lossy(&output)),
+                output: last_lines(&String::from_utf8_lossy(&output)),
             });
         };
         serde_json::from_str(&text)
-            .map_err(|source| PlayError::Form { day: Box::new(day.clone()), source })
+            .map_err(|source| PlayError::MalformedReport { day: Box::new(day.clone()), source })
     }
 }
 
-/// Returns the last lines of an output.
-fn tail(output: &str) -> String {
-    /// How many lines tell what went wrong.
+/// Returns the last lines of the output, joined into one line.
+fn last_lines(output: &str) -> String {
+    /// Enough lines to show an error message.
     const LINES: usize = 5;
     let lines: Vec<&str> = output.lines().collect();
     lines[lines.len().saturating_sub(LINES)..].join(" | ")
 }
 
-/// Returns the error for a path.
-pub fn io(path: &path::Path, source: std::io::Error) -> PlayError {
+/// Returns the error for a failed access to a path.
+pub fn io_error(path: &path::Path, source: std::io::Error) -> PlayError {
     PlayError::Io { path: path.to_owned(), source }
 }
--- a/crates/bench/src/queueing/endpoints.rs
+++ b/crates/bench/src/queueing/endpoints.rs
@@ -1,65 +1,77 @@
-//! What an endpoint does with tries, in trouble and without.
+//! The endpoint side of the simulation: slots and faults.
 
 use std::time;
 
 use rand::RngExt as _;
 
-use crate::queueing::{Back, Event, Sim, Trouble, WAY};
+use crate::queueing::{AttemptResult, Condition, Event, NETWORK_DELAY, Sim};
 
-/// An endpoint.
+/// The state of an endpoint.
 pub(super) struct Endpoint {
     /// Slots in use.
-    used: u32,
-    /// When trouble ends.
-    until: time::Duration,
-    /// What is wrong until then.
-    trouble: Trouble,
+    used_slots: u32,
+    /// When the condition ends and the endpoint is well again.
+    condition_ends: time::Duration,
+    /// The condition until then.
+    condition: Condition,
 }
 
 impl Endpoint {
-    /// Makes an endpoint with what is wrong with it and until when.
-    pub(super) fn new((trouble, until): &(Trouble, time::Duration)) -> Self {
-        Self { used: 0, until: *until, trouble: *trouble }
+    /// Creates an idle endpoint with a condition and its end.
+    pub(super) fn new((condition, condition_ends): &(Condition, time::Duration)) -> Self {
+        Self { used_slots: 0, condition_ends: *condition_ends, condition: *condition }
     }
 }
 
 impl Sim {
-    /// Lets an endpoint take a try.
-    pub(super) fn reach(&mut self, request: usize, endpoint: usize) {
+    /// Handles an attempt that reaches an endpoint.
+    pub(super) fn handle_attempt(&mut self, request: usize, endpoint: usize) {
         let now = self.now;
         let slots = self.setup.slots;
-        let place = &mut self.endpoints[endpoint];
-        let troubled = place.trouble != Trouble::Well && now < place.until;
-        if troubled {
-            self.outcome.at_trouble += 1;
-            self.outcome.left_after = now;
-        } else if place.trouble != Trouble::Well && self.outcome.used_again.is_none() {
-            self.outcome.used_again = Some(now - place.until);
+        let target = &mut self.endpoints[endpoint];
+        let affected = target.condition != Condition::Well && now < target.condition_ends;
+        if affected {
+            self.outcome.faulty_attempts += 1;
+            self.outcome.last_faulty_attempt = now;
+        } else if target.condition != Condition::Well && self.outcome.reused_after.is_none() {
+            self.outcome.reused_after = Some(now - target.condition_ends);
         }
-        let trouble = if troubled { place.trouble } else { Trouble::Well };
-        if trouble == Trouble::FailFast {
-            self.at(now + WAY, Event::Back(request, endpoint, Back::Failure));
+        let condition = if affected { target.condition } else { Condition::Well };
+        if condition == Condition::FailFast {
+            self.schedule(
+                now + NETWORK_DELAY,
+                Event::AttemptReturned(request, endpoint, AttemptResult::Failure),
+            );
             return;
         }
-        if place.used >= slots {
-            self.at(now + WAY, Event::Back(request, endpoint, Back::Refusal));
+        if target.used_slots >= slots {
+            self.schedule(
+                now + NETWORK_DELAY,
+                Event::AttemptReturned(request, endpoint, AttemptResult::Refusal),
+            );
             return;
         }
-        if trouble == Trouble::Hang {
-            let deadline = self.requests[request].came + self.setup.patience;
-            self.at(deadline.max(now), Event::Back(request, endpoint, Back::Timeout));
+        if condition == Condition::Hang {
+            let deadline = self.requests[request].arrived + self.setup.caller_timeout;
+            self.schedule(
+                deadline.max(now),
+                Event::AttemptReturned(request, endpoint, AttemptResult::Timeout),
+            );
             return;
         }
-        place.used += 1;
-        let factor = if let Trouble::Slow(factor) = trouble { factor } else { 1.0 };
+        target.used_slots += 1;
+        let factor = if let Condition::Slow(factor) = condition { factor } else { 1.0 };
         let spread = -self.rng.random::<f64>().max(1e-12).ln() * 0.5 + 0.5;
-        let took = self.setup.service.mul_f64(spread * factor);
-        self.at(now + took, Event::Done(request, endpoint));
+        let service_time = self.setup.service.mul_f64(spread * factor);
+        self.schedule(now + service_time, Event::AttemptCompleted(request, endpoint));
     }
 
-    /// Frees the slot of a request that an endpoint has run, and sends the answer back.
-    pub(super) fn done(&mut self, request: usize, endpoint: usize) {
-        self.endpoints[endpoint].used -= 1;
-        self.at(self.now + WAY, Event::Back(request, endpoint, Back::Answer));
+    /// Frees the slot of a completed request and sends the answer to the host.
+    pub(super) fn complete_attempt(&mut self, request: usize, endpoint: usize) {
+        self.endpoints[endpoint].used_slots -= 1;
+        self.schedule(
+            self.now + NETWORK_DELAY,
+            Event::AttemptReturned(request, endpoint, AttemptResult::Answer),
+        );
     }
 }
--- a/crates/bench/src/queueing/hosts.rs
+++ b/crates/bench/src/queueing/hosts.rs
@@ -1,4 +1,4 @@
-//! What a host does with requests: it chooses an endpoint, lets them wait, tries again, refuses.
+//! The host side of the simulation: choice of endpoints, queueing, retries and refusals.
 
 use std::time;
 
@@ -6,33 +6,35 @@
 use wharflane::{outcome, queue, retry, route};
 
 use crate::load;
-use crate::queueing::{Back, Choice, Event, Request, Setup, Sharing, Sim, WAY, Waiting};
+use crate::queueing::{
+    AttemptResult, Choice, Event, NETWORK_DELAY, QueuePolicy, Request, Setup, Sharing, Sim,
+};
 
-/// The most refusals by full endpoints that a request bears.
+/// The number of refusals by full endpoints after which a request is refused.
 const MAX_REFUSALS: u32 = 16;
-/// How many wait at most in the product's queue.
-const QUEUE: usize = 256;
+/// The capacity of the bounded queue.
+const QUEUE_CAPACITY: usize = 256;
 
-/// A host.
+/// The state of a host.
 pub(super) struct Host {
-    /// What it knows of each endpoint.
+    /// Health and requests in flight of each endpoint, as this host sees them.
     pub(super) health: Vec<route::Health>,
-    /// The most requests that it may have under way at each.
+    /// The most requests that this host may have in flight at each endpoint.
     pub(super) caps: Vec<u32>,
-    /// Its queue.
+    /// Requests that wait for an endpoint with room.
     pub(super) queue: queue::Queue<usize>,
-    /// Its retry budget.
+    /// The budget that bounds retries.
     pub(super) budget: retry::Budget,
-    /// Requests in the last second.
+    /// Requests received since slots were last assigned.
     pub(super) demand: u64,
 }
 
 impl Host {
-    /// Makes a host that knows nothing yet.
+    /// Creates a host without knowledge of the endpoints and without slots.
     pub(super) fn new(setup: &Setup) -> Self {
-        let queue = match setup.waiting {
-            Waiting::Bounded => QUEUE,
-            Waiting::Endless => usize::MAX,
+        let queue = match setup.queue_policy {
+            QueuePolicy::Bounded => QUEUE_CAPACITY,
+            QueuePolicy::Endless => usize::MAX,
         };
         Self {
             health: vec![route::Health::default(); setup.endpoints],
@@ -45,10 +47,11 @@
 }
 
 impl Sim {
-    /// Sends a request to an endpoint, or lets it wait.
-    pub(super) fn enter(&mut self, request: usize) {
-        let Request { host, paid, came, tries } = self.requests[request];
-        let first = tries.refused == 0;
+    /// Sends a request to an endpoint if one has room and no other request waits; otherwise queues
+    /// it.
+    pub(super) fn dispatch(&mut self, request: usize) {
+        let Request { host, paid, arrived, attempts } = self.requests[request];
+        let is_first_attempt = attempts.refused == 0;
         if self.hosts[host].queue.is_empty()
             && let Some(endpoint) = self.choose(host)
         {
@@ -56,88 +59,88 @@
             return;
         }
         let priority = u32::from(paid);
-        let start_by = match self.setup.waiting {
-            Waiting::Bounded => came + self.setup.patience - self.setup.service * 2,
-            Waiting::Endless => time::Duration::MAX,
+        let start_by = match self.setup.queue_policy {
+            QueuePolicy::Bounded => arrived + self.setup.caller_timeout - self.setup.service * 2,
+            QueuePolicy::Endless => time::Duration::MAX,
         };
-        let priority = if self.setup.waiting == Waiting::Bounded { priority } else { 0 };
-        match self.hosts[host].queue.push(priority, start_by, self.now, first, request) {
+        let priority = if self.setup.queue_policy == QueuePolicy::Bounded { priority } else { 0 };
+        match self.hosts[host].queue.push(priority, start_by, self.now, is_first_attempt, request) {
             queue::Admission::Queued => {}
             queue::Admission::Refused(_) => self.refuse(request),
             queue::Admission::Displaced(other, _) => self.refuse(other),
         }
     }
 
-    /// Chooses an endpoint for a host.
+    /// Chooses an endpoint with room for a host.
     fn choose(&mut self, host: usize) -> Option<usize> {
         let Host { health, caps, .. } = &self.hosts[host];
         let now = self.now;
-        let open = |at: usize| health[at].in_flight < caps[at];
+        let has_room = |at: usize| health[at].in_flight < caps[at];
         let rng = &mut self.rng;
         match self.setup.choice {
             Choice::Random => {
-                let cost = |at: usize| open(at).then_some(0.0);
+                let cost = |at: usize| has_room(at).then_some(0.0);
                 route::pick(health.len(), cost, |below| rng.random_range(0..below))
             }
             Choice::LeastConnections => {
                 let start = rng.random_range(0..health.len());
-                let turns = (0..health.len()).map(|at| (at + start) % health.len());
-                turns.filter(|at| open(*at)).min_by_key(|at| health[*at].in_flight)
+                let rotated = (0..health.len()).map(|at| (at + start) % health.len());
+                rotated.filter(|at| has_room(*at)).min_by_key(|at| health[*at].in_flight)
             }
             Choice::TwoChoices => {
                 let windowed = self.setup.sharing == Sharing::Window;
                 let cost = |at: usize| match route::request_cost(&health[at], caps[at], now) {
-                    None if !windowed => open(at).then(|| health[at].cost()),
-                    offer => offer,
+                    None if !windowed => has_room(at).then(|| health[at].cost()),
+                    request_cost => request_cost,
                 };
                 route::pick(health.len(), cost, |below| rng.random_range(0..below))
             }
         }
     }
 
-    /// Sends a request to an endpoint.
+    /// Sends an attempt of a request to an endpoint.
     fn send(&mut self, request: usize, endpoint: usize) {
         let host = self.requests[request].host;
         self.hosts[host].health[endpoint].in_flight += 1;
-        self.outcome.tries += 1;
-        self.at(self.now + WAY, Event::Reach(request, endpoint));
+        self.outcome.attempts += 1;
+        self.schedule(self.now + NETWORK_DELAY, Event::AttemptArrived(request, endpoint));
     }
 
-    /// Takes back a try at its host.
-    pub(super) fn back(&mut self, request: usize, endpoint: usize, back: Back) {
-        let Request { host, came, paid, .. } = self.requests[request];
+    /// Handles the result of an attempt at its host.
+    pub(super) fn handle_result(&mut self, request: usize, endpoint: usize, result: AttemptResult) {
+        let Request { host, arrived, paid, .. } = self.requests[request];
         let now = self.now;
-        let latency = now - came;
+        let latency = now - arrived;
         let may_eject = self.may_eject(host);
         let health = &mut self.hosts[host].health[endpoint];
         health.in_flight -= 1;
-        match back {
-            Back::Answer => {
+        match result {
+            AttemptResult::Answer => {
                 health.answered(latency);
-                if latency <= self.setup.patience {
+                if latency <= self.setup.caller_timeout {
                     self.outcome.answered += 1;
                     self.outcome.paid_answered += u64::from(paid);
-                    let us = u64::try_from(latency.as_micros()).unwrap_or(load::MAX_US);
+                    let us = u64::try_from(latency.as_micros()).unwrap_or(load::MAX_LATENCY_US);
                     self.outcome.latency_us.saturating_record(us);
                 } else {
                     self.outcome.failed += 1;
                 }
             }
-            Back::Refusal => {
-                self.outcome.full += 1;
+            AttemptResult::Refusal => {
+                self.outcome.full_refusals += 1;
                 health.refused(now);
-                self.requests[request].tries.note(outcome::Failure::Refused);
-                if self.requests[request].tries.refused < MAX_REFUSALS {
-                    self.enter(request);
+                self.requests[request].attempts.note(outcome::Failure::Refused);
+                if self.requests[request].attempts.refused < MAX_REFUSALS {
+                    self.dispatch(request);
                 } else {
                     self.refuse(request);
                 }
             }
-            Back::Failure => {
+            AttemptResult::Failure => {
                 health.failed(now, may_eject);
-                self.again(request, outcome::Failure::Lost);
+                self.retry(request, outcome::Failure::Lost);
             }
-            Back::Timeout => {
+            AttemptResult::Timeout => {
                 health.failed(now, may_eject);
                 self.outcome.failed += 1;
             }
@@ -145,50 +148,50 @@
         self.serve_queue(host);
     }
 
-    /// Tries a request once more if it may.
-    fn again(&mut self, request: usize, failure: outcome::Failure) {
+    /// Retries a failed request if its attempts and the retry budget allow it.
+    fn retry(&mut self, request: usize, failure: outcome::Failure) {
         let host = self.requests[request].host;
-        self.requests[request].tries.note(failure);
-        let tries = self.requests[request].tries;
-        let allowed = tries.made() < self.setup.tries;
-        if allowed && (!self.setup.budget || self.hosts[host].budget.try_withdraw()) {
-            self.enter(request);
-        } else if tries.may_have_run == 0 {
+        self.requests[request].attempts.note(failure);
+        let attempts = self.requests[request].attempts;
+        let allowed = attempts.made() < self.setup.max_attempts;
+        if allowed && (!self.setup.retry_budget || self.hosts[host].budget.try_withdraw()) {
+            self.dispatch(request);
+        } else if attempts.may_have_run == 0 {
             self.refuse(request);
         } else {
             self.outcome.failed += 1;
         }
     }
 
-    /// Returns whether a host may leave one more endpoint.
+    /// Returns whether a host may eject one more endpoint.
     fn may_eject(&self, host: usize) -> bool {
         let health = &self.hosts[host].health;
-        let left = health
+        let ejected = health
             .iter()
             .filter(|h| h.availability(self.now) == route::Availability::Ejected)
             .count();
-        route::may_eject(left, health.len(), 30)
+        route::may_eject(ejected, health.len(), 30)
     }
 
-    /// Sends waiting requests while there are free endpoints.
+    /// Sends queued requests while an endpoint has room.
     pub(super) fn serve_queue(&mut self, host: usize) {
         while !self.hosts[host].queue.is_empty() {
             let Some(endpoint) = self.choose(host) else {
                 return;
             };
-            let (late, next) = self.hosts[host].queue.pop(self.now);
-            late.into_iter().for_each(|request| self.refuse(request));
+            let (expired, next) = self.hosts[host].queue.pop(self.now);
+            expired.into_iter().for_each(|request| self.refuse(request));
             if let Some(request) = next {
                 self.send(request, endpoint);
             }
         }
     }
 
-    /// Ends a request that did not run.
+    /// Counts a request as refused before it ran.
     fn refuse(&mut self, request: usize) {
         self.outcome.refused += 1;
-        let waited = self.now - self.requests[request].came;
-        let us = u64::try_from(waited.as_micros()).unwrap_or(load::MAX_US);
+        let waited = self.now - self.requests[request].arrived;
+        let us = u64::try_from(waited.as_micros()).unwrap_or(load::MAX_LATENCY_US);
         self.outcome.refusal_us.saturating_record(us);
     }
 }
--- a/crates/bench/src/queueing/mod.rs
+++ b/crates/bench/src/queueing/mod.rs
@@ -1,8 +1,11 @@
-//! Hosts, endpoints and callers in virtual time, around the product's own decisions.
+//! A simulation of hosts, endpoints and callers in virtual time.
+//!
+//! Routing, queueing and retry decisions are made by the scheduler's own code; the simulation only
+//! supplies arrivals, delays and faults.
 
-mod deal;
 mod endpoints;
 mod hosts;
+mod slots;
 
 use std::collections;
 use std::time;
@@ -10,99 +13,99 @@
 use rand::{RngExt as _, SeedableRng as _};
 use wharflane::outcome;
 
-pub use crate::load::{Choice, Outcome, Setup, Sharing, Trouble, Waiting};
+pub use crate::load::{Choice, Condition, Outcome, QueuePolicy, Setup, Sharing};
 
-/// One way between a host and an endpoint.
-const WAY: time::Duration = time::Duration::from_micros(500);
-/// The time between two looks at the queues.
+/// The network delay between a host and an endpoint, one way.
+const NETWORK_DELAY: time::Duration = time::Duration::from_micros(500);
+/// The time between two ticks, in which all hosts serve their queues.
 const TICK: time::Duration = time::Duration::from_millis(20);
 
-/// Runs a load in virtual time; the same setup and seed give the same outcome.
+/// Runs a load in virtual time. The same setup and seed give the same outcome.
 #[must_use]
 pub fn run(setup: &Setup, seed: u64) -> Outcome {
     let mut sim = Sim::new(setup.clone(), seed);
-    sim.at(time::Duration::ZERO, Event::Arrive);
-    sim.at(TICK, Event::Tick);
-    sim.deal();
+    sim.schedule(time::Duration::ZERO, Event::RequestArrived);
+    sim.schedule(TICK, Event::Tick);
+    sim.assign_slots();
     while let Some(((now, _), event)) = sim.events.pop_first() {
         sim.now = now;
-        sim.happen(event);
+        sim.handle(event);
     }
     sim.outcome
 }
 
-/// Everything at a moment.
+/// The state of the simulation.
 struct Sim {
-    /// The load.
+    /// The load and the policies.
     setup: Setup,
-    /// The time.
+    /// Virtual time since the start.
     now: time::Duration,
-    /// What is to come.
+    /// Scheduled events by time, and by order of scheduling within the same time.
     events: collections::BTreeMap<(time::Duration, u64), Event>,
-    /// The number of events.
-    number: u64,
-    /// The hosts.
+    /// The number of events scheduled so far.
+    scheduled: u64,
+    /// The hosts by index.
     hosts: Vec<hosts::Host>,
-    /// The endpoints.
+    /// The endpoints by index.
     endpoints: Vec<endpoints::Endpoint>,
-    /// The requests.
+    /// All requests by index, in order of arrival.
     requests: Vec<Request>,
-    /// Chance.
+    /// The source of all random choices.
     rng: rand::rngs::SmallRng,
-    /// What came of it.
+    /// The outcome so far.
     outcome: Outcome,
 }
 
-/// A request under way.
+/// A request and its progress.
 #[derive(Clone, Debug)]
 struct Request {
-    /// The host that it came to.
+    /// The host that received it.
     host: usize,
-    /// When it came.
-    came: time::Duration,
+    /// When it arrived at the host.
+    arrived: time::Duration,
     /// Whether it paid for priority.
     paid: bool,
-    /// Its tries.
-    tries: outcome::Attempts,
+    /// The attempts made so far.
+    attempts: outcome::Attempts,
 }
 
-/// What happens at a moment.
+/// An event of the simulation; indices are those of the request and the endpoint.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// A request comes.
-    Arrive,
-    /// A try reaches its endpoint.
-    Reach(usize, usize),
-    /// An endpoint has run a request.
-    Done(usize, usize),
-    /// The answer of a try is back at its host: whether it is a failure or a refusal.
-    Back(usize, usize, Back),
-    /// A host looks at its queue, and slots are dealt out.
+    /// A new request arrives.
+    RequestArrived,
+    /// An attempt reaches its endpoint.
+    AttemptArrived(usize, usize),
+    /// An endpoint completes a request.
+    AttemptCompleted(usize, usize),
+    /// The result of an attempt reaches the host.
+    AttemptReturned(usize, usize, AttemptResult),
+    /// Hosts serve their queues and, once a second, slots are assigned anew.
     Tick,
 }
 
-/// How a try came back.
+/// The result of an attempt, as its host sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Back {
-    /// With an answer.
+enum AttemptResult {
+    /// The endpoint answered the request.
     Answer,
-    /// With a failure of the endpoint.
+    /// The attempt failed at the endpoint.
     Failure,
-    /// With a refusal.
+    /// The endpoint was full and refused the request.
     Refusal,
-    /// Not in time.
+    /// The caller's timeout passed without an answer.
     Timeout,
 }
 
 impl Sim {
-    /// Makes everything as it is at the start.
+    /// Creates the initial state.
     fn new(setup: Setup, seed: u64) -> Self {
         Self {
             now: time::Duration::ZERO,
             events: collections::BTreeMap::new(),
-            number: 0,
+            scheduled: 0,
             hosts: (0..setup.hosts).map(|_| hosts::Host::new(&setup)).collect(),
-            endpoints: setup.troubles.iter().map(endpoints::Endpoint::new).collect(),
+            endpoints: setup.conditions.iter().map(endpoints::Endpoint::new).collect(),
             requests: Vec::new(),
             rng: rand::rngs::SmallRng::seed_from_u64(seed),
             outcome: Outcome::empty(),
@@ -110,53 +113,55 @@
         }
     }
 
-    /// Plans an event.
-    fn at(&mut self, at: time::Duration, event: Event) {
-        self.number += 1;
-        self.events.insert((at, self.number), event);
+    /// Schedules an event.
+    fn schedule(&mut self, at: time::Duration, event: Event) {
+        self.scheduled += 1;
+        self.events.insert((at, self.scheduled), event);
     }
 
-    /// Lets an event happen.
-    fn happen(&mut self, event: Event) {
+    /// Handles one event.
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrive => self.arrive(),
-            Event::Reach(request, endpoint) => self.reach(request, endpoint),
-            Event::Done(request, endpoint) => self.done(request, endpoint),
-            Event::Back(request, endpoint, back) => self.back(request, endpoint, back),
+            Event::RequestArrived => self.arrive(),
+            Event::AttemptArrived(request, endpoint) => self.handle_attempt(request, endpoint),
+            Event::AttemptCompleted(request, endpoint) => self.complete_attempt(request, endpoint),
+            Event::AttemptReturned(request, endpoint, result) => {
+                self.handle_result(request, endpoint, result)
+            }
             Event::Tick => self.tick(),
         }
     }
 
-    /// Takes a request and plans the next.
+    /// Receives a request at a host and schedules the next arrival.
     fn arrive(&mut self) {
         let setup = &self.setup;
         if self.now >= setup.duration {
             return;
         }
-        let first = setup.hosts == 1 || self.rng.random::<f64>() < setup.first_share;
-        let host = if first { 0 } else { self.rng.random_range(1..setup.hosts) };
+        let to_first = setup.hosts == 1 || self.rng.random::<f64>() < setup.first_share;
+        let host = if to_first { 0 } else { self.rng.random_range(1..setup.hosts) };
         let paid = self.rng.random::<f64>() < setup.paid_share;
-        let gap = -self.rng.random::<f64>().max(1e-12).ln() / setup.rate;
-        self.at(self.now + time::Duration::from_secs_f64(gap), Event::Arrive);
-        let (came, tries) = (self.now, outcome::Attempts::default());
-        self.requests.push(Request { host, came, paid, tries });
-        self.outcome.asked += 1;
+        let interval_s = -self.rng.random::<f64>().max(1e-12).ln() / setup.rate;
+        self.schedule(self.now + time::Duration::from_secs_f64(interval_s), Event::RequestArrived);
+        let (arrived, attempts) = (self.now, outcome::Attempts::default());
+        self.requests.push(Request { host, arrived, paid, attempts });
+        self.outcome.offered += 1;
         self.outcome.paid += u64::from(paid);
         self.hosts[host].demand += 1;
         self.hosts[host].budget.record_first_attempt();
-        self.enter(self.requests.len() - 1);
+        self.dispatch(self.requests.len() - 1);
     }
 
-    /// Looks at all queues and deals out slots.
+    /// Serves all queues, and assigns slots once a second.
     fn tick(&mut self) {
         (0..self.hosts.len()).for_each(|host| self.serve_queue(host));
-        let second = self.now.as_millis().is_multiple_of(deal::DEAL.as_millis());
-        if second {
-            self.deal();
+        let assigns_slots = self.now.as_millis().is_multiple_of(slots::ASSIGN_INTERVAL.as_millis());
+        if assigns_slots {
+            self.assign_slots();
         }
-        let busy = self.now < self.setup.duration || !self.events.is_empty();
-        if busy && self.now < self.setup.duration * 20 {
-            self.at(self.now + TICK, Event::Tick);
+        let is_running = self.now < self.setup.duration || !self.events.is_empty();
+        if is_running && self.now < self.setup.duration * 20 {
+            self.schedule(self.now + TICK, Event::Tick);
         }
     }
 }
--- a/crates/bench/src/routing.rs
+++ b/crates/bench/src/routing.rs
@@ -5,51 +5,51 @@
 use crate::queueing;
 use crate::table;
 
-/// One choice with one trouble.
+/// The result of one routing policy with one condition of endpoints.
 #[derive(Clone, Debug)]
 pub struct Row {
     /// How endpoints are chosen.
     pub choice: queueing::Choice,
-    /// What is wrong.
-    pub trouble: queueing::Trouble,
-    /// How many of the endpoints it is wrong with.
-    pub troubled: usize,
-    /// What came of it.
+    /// The condition of the affected endpoints.
+    pub condition: queueing::Condition,
+    /// The number of affected endpoints.
+    pub affected: usize,
+    /// The outcome of the simulated load.
     pub outcome: queueing::Outcome,
 }
 
-/// The share of the capacity that is asked for.
+/// The offered load as a share of the capacity.
 const LOAD: f64 = 0.5;
-/// When the trouble ends.
-const HEALED: time::Duration = time::Duration::from_secs(4);
+/// When the affected endpoints recover, from the start of the run.
+const RECOVERY: time::Duration = time::Duration::from_secs(4);
 
-/// Measures every choice with every trouble.
+/// Measures every routing policy with every condition.
 #[must_use]
 pub fn measure() -> Vec<Row> {
     let mut rows = Vec::new();
-    for (trouble, troubled) in [
-        (queueing::Trouble::Well, 0),
-        (queueing::Trouble::Slow(5.0), 6),
-        (queueing::Trouble::FailFast, 1),
-        (queueing::Trouble::Hang, 1),
+    for (condition, affected) in [
+        (queueing::Condition::Well, 0),
+        (queueing::Condition::Slow(5.0), 6),
+        (queueing::Condition::FailFast, 1),
+        (queueing::Condition::Hang, 1),
     ] {
         for choice in [
             queueing::Choice::Random,
             queueing::Choice::LeastConnections,
             queueing::Choice::TwoChoices,
         ] {
-            let mut setup = queueing::Setup::shared(6, LOAD);
+            let mut setup = queueing::Setup::with_load(6, LOAD);
             setup.choice = choice;
-            setup.tries = 1;
-            setup.troubles[..troubled].fill((trouble, HEALED));
+            setup.max_attempts = 1;
+            setup.conditions[..affected].fill((condition, RECOVERY));
             let outcome = queueing::run(&setup, 2);
-            rows.push(Row { choice, trouble, troubled, outcome });
+            rows.push(Row { choice, condition, affected, outcome });
         }
     }
     rows
 }
 
-/// Prints the result.
+/// Measures and prints the table.
 pub fn print() {
     let mut table = table::Table::new(&[
         "trouble",
@@ -64,17 +64,18 @@
     ]);
     for row in measure() {
         let outcome = &row.outcome;
-        let again = outcome.used_again.map_or("-".to_owned(), |at| table::two(at.as_secs_f64()));
+        let reused_after =
+            outcome.reused_after.map_or("-".to_owned(), |at| table::two_decimals(at.as_secs_f64()));
         table.row(vec![
-            format!("{:?}", row.trouble).to_lowercase(),
-            row.troubled.to_string(),
+            format!("{:?}", row.condition).to_lowercase(),
+            row.affected.to_string(),
             format!("{:?}", row.choice).to_lowercase(),
-            table::two(outcome.quantile_ms(0.5)),
-            table::two(outcome.quantile_ms(0.99)),
-            table::percent(outcome.asked - outcome.answered, outcome.asked),
-            table::percent(outcome.at_trouble, outcome.tries),
-            table::two(outcome.left_after.as_secs_f64()),
-            again,
+            table::two_decimals(outcome.quantile_ms(0.5)),
+            table::two_decimals(outcome.quantile_ms(0.99)),
+            table::percent(outcome.offered - outcome.answered, outcome.offered),
+            table::percent(outcome.faulty_attempts, outcome.attempts),
+            table::two_decimals(outcome.last_faulty_attempt.as_secs_f64()),
+            reused_after,
         ]);
     }
     table.print();
--- a/crates/bench/src/sharing.rs
+++ b/crates/bench/src/sharing.rs
@@ -3,23 +3,23 @@
 use crate::queueing;
 use crate::table;
 
-/// One way to share at one number of hosts.
+/// The result of one way of sharing with one number of hosts.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// How slots are shared.
+    /// How slots are shared among hosts.
     pub sharing: queueing::Sharing,
     /// The number of hosts.
     pub hosts: usize,
-    /// Whether the first host takes half the load.
+    /// Whether the first host receives half of the load.
     pub skewed: bool,
-    /// What came of it.
+    /// The outcome of the simulated load.
     pub outcome: queueing::Outcome,
 }
 
-/// The share of the capacity that is asked for.
+/// The offered load as a share of the capacity.
 const LOAD: f64 = 0.7;
 
-/// Measures every way to share, steady and with one host taking half the load.
+/// Measures every way of sharing, with even load and with half of the load on one host.
 #[must_use]
 pub fn measure() -> Vec<Row> {
     let mut rows = Vec::new();
@@ -32,7 +32,7 @@
                 queueing::Sharing::Optimistic,
                 queueing::Sharing::Window,
             ] {
-                let mut setup = queueing::Setup::shared(hosts, LOAD);
+                let mut setup = queueing::Setup::with_load(hosts, LOAD);
                 setup.sharing = sharing;
                 setup.duration = std::time::Duration::from_secs(4);
                 if skewed {
@@ -46,7 +46,7 @@
     rows
 }
 
-/// Prints the result.
+/// Measures and prints the table.
 pub fn print() {
     let mut table = table::Table::new(&[
         "hosts",
@@ -64,11 +64,11 @@
             row.hosts.to_string(),
             if row.skewed { "half on one host" } else { "even" }.to_owned(),
             format!("{:?}", row.sharing).to_lowercase(),
-            table::two(outcome.quantile_ms(0.5)),
-            table::two(outcome.quantile_ms(0.99)),
-            table::percent(outcome.full, outcome.tries),
-            table::percent(outcome.asked - outcome.answered, outcome.asked),
-            format!("{:.0}", outcome.control_bytes),
+            table::two_decimals(outcome.quantile_ms(0.5)),
+            table::two_decimals(outcome.quantile_ms(0.99)),
+            table::percent(outcome.full_refusals, outcome.attempts),
+            table::percent(outcome.offered - outcome.answered, outcome.offered),
+            format!("{:.0}", outcome.control_bytes_per_s),
         ]);
     }
     table.print();
--- a/crates/bench/src/table.rs
+++ b/crates/bench/src/table.rs
@@ -1,25 +1,25 @@
-//! Prints results as tables in Markdown.
+//! Results as Markdown tables on standard output.
 
-/// A table of results.
+/// A Markdown table.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    /// The head and the rows.
+    /// The header, followed by the rows.
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// Starts a table with its head.
+    /// Creates a table with a header and no rows.
     #[must_use]
     pub fn new(head: &[&str]) -> Self {
         Self { rows: vec![head.iter().map(ToString::to_string).collect()] }
     }
 
-    /// Adds a row.
+    /// Appends a row with one cell for each column of the header.
     pub fn row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
 
-    /// Prints the table.
+    /// Prints the table to standard output, followed by an empty line.
     pub fn print(&self) {
         for (at, row) in self.rows.iter().enumerate() {
             println!("| {} |", row.join(" | "));
@@ -31,13 +31,13 @@
     }
 }
 
-/// Returns a number with two places.
+/// Formats a number with two decimal places.
 #[must_use]
-pub fn two(number: f64) -> String {
+pub fn two_decimals(number: f64) -> String {
     format!("{number:.2}")
 }
 
-/// Returns a share in percent with one place.
+/// Formats a share as a percentage with one decimal place.
 #[must_use]
 pub fn percent(part: u64, whole: u64) -> String {
     format!("{:.1} %", 100.0 * part as f64 / whole.max(1) as f64)
--- a/crates/bench/tests/decisions.rs
+++ b/crates/bench/tests/decisions.rs
@@ -1,125 +1,173 @@
-//! Bounds on what the decisions achieve, as counts and ratios within one run in virtual time.
+//! Bounds on the results of the design decisions, as counts and ratios of runs in virtual time.
 
 use std::time;
 
-use wharflane_bench::{fleet, harm, queueing};
+use wharflane_bench::{fleet, interference, queueing};
 use wharflane_stand_in::cases;
 
-/// Returns a small part of the endpoints under a share of their capacity.
+/// Returns a setup with a small part of the endpoints and a load given as a share of their
+/// capacity.
 fn setup(hosts: usize, load: f64) -> queueing::Setup {
-    let mut setup = queueing::Setup::shared(hosts, load);
+    let mut setup = queueing::Setup::with_load(hosts, load);
     let endpoints = 24;
     setup.rate *= endpoints as f64 / setup.endpoints as f64;
     setup.endpoints = endpoints;
-    setup.troubles.truncate(endpoints);
+    setup.conditions.truncate(endpoints);
     setup.duration = time::Duration::from_secs(2);
     setup
 }
 
-/// Returns how many requests were not answered in time.
-fn lost(outcome: &queueing::Outcome) -> u64 {
-    outcome.asked - outcome.answered
+/// Returns the number of requests that were not answered in time.
+fn unanswered(outcome: &queueing::Outcome) -> u64 {
+    outcome.offered - outcome.answered
 }
 
-/// Measures a setup with one way to share.
-fn shared(sharing: queueing::Sharing, hosts: usize, first_share: f64) -> queueing::Outcome {
+/// Runs a setup with one way of sharing slots.
+fn run_with_sharing(
+    sharing: queueing::Sharing,
+    hosts: usize,
+    first_share: f64,
+) -> queueing::Outcome {
     let setup = queueing::Setup { sharing, first_share, ..setup(hosts, 0.7) };
     queueing::run(&setup, 1)
 }
 
-/// Measures a setup with one way to choose among endpoints of which some are in trouble.
-fn chosen(
+/// Runs a setup with one routing policy in which some endpoints have a condition.
+fn run_with_choice(
     choice: queueing::Choice,
-    trouble: queueing::Trouble,
-    troubled: usize,
+    condition: queueing::Condition,
+    affected: usize,
 ) -> queueing::Outcome {
-    let mut setup = queueing::Setup { choice, tries: 1, ..setup(6, 0.5) };
-    setup.troubles[..troubled].fill((trouble, time::Duration::from_secs(9)));
+    let mut setup = queueing::Setup { choice, max_attempts: 1, ..setup(6, 0.5) };
+    setup.conditions[..affected].fill((condition, time::Duration::from_secs(9)));
     queueing::run(&setup, 2)
 }
 
-/// Measures a load with one way to wait.
-fn waited(waiting: queueing::Waiting, load: f64) -> queueing::Outcome {
-    queueing::run(&queueing::Setup { waiting, ..setup(6, load) }, 3)
+/// Runs a load with one queue policy.
+fn run_with_queue_policy(queue_policy: queueing::QueuePolicy, load: f64) -> queueing::Outcome {
+    queueing::run(&queueing::Setup { queue_policy, ..setup(6, load) }, 3)
 }
 
-/// Runs the job engine at so many workers for a moment, behind so many tasks that wait.
-fn fleet(workers: usize, starts_per_s: f64, waiting: u32) -> fleet::Cost {
-    let time = time::Duration::from_millis(500);
-    fleet::measure(fleet::Setup { workers, starts_per_s, waiting, time })
+/// Runs the job engine for a short time with a number of workers and of waiting tasks.
+fn run_fleet(workers: usize, starts_per_s: f64, waiting_tasks: u32) -> fleet::Cost {
+    let duration = time::Duration::from_millis(500);
+    fleet::measure(fleet::Setup { workers, starts_per_s, waiting_tasks, duration })
 }
 
 cases! {
-    a_start_weighs_few_workers_at_any_size => {
+    cost_per_start_does_not_grow_with_the_number_of_workers => {
         for (workers, starts_per_s) in [(66, 145.0), (300, 550.0)] {
-            let cost = fleet(workers, starts_per_s, 0);
+            let cost = run_fleet(workers, starts_per_s, 0);
             assert!(cost.starts > 50, "{cost:?}");
-            // Steps have 9 to 39 tasks, and each step weighs all workers once.
-            assert!(cost.per_start(cost.sought) < 0.15, "{cost:?}");
+            // Steps have 9 to 39 tasks, and one search over all workers serves a whole step.
+            assert!(cost.per_start(cost.worker_searches) < 0.15, "{cost:?}");
             assert!(cost.per_start(cost.heartbeats) < 1.6, "{cost:?}");
             assert!(cost.per_start(cost.txn_bytes) < 120.0, "{cost:?}");
         }
     },
-    what_waits_costs_few_searches => {
-        let (few, many) = (fleet(66, 145.0, 600), fleet(66, 145.0, 6_000));
+    waiting_tasks_add_few_worker_searches => {
+        let (few, many) = (run_fleet(66, 145.0, 600), run_fleet(66, 145.0, 6_000));
         assert!(many.starts * 10 > few.starts * 9, "{few:?} {many:?}");
-        assert!(many.sought < 2 * few.sought + 50, "{few:?} {many:?}");
+        assert!(many.worker_searches < 2 * few.worker_searches + 50, "{few:?} {many:?}");
     },
-    windows_lose_nothing_when_one_host_takes_half => {
-        let fixed = shared(queueing::Sharing::Fixed, 9, 0.5);
-        let window = shared(queueing::Sharing::Window, 9, 0.5);
-        assert!(lost(&fixed) * 10 > fixed.asked, "fixed shares lose over a tenth");
-        assert!(lost(&window) * 100 < window.asked, "windows lose under a hundredth");
+    window_sharing_serves_uneven_load_that_fixed_shares_lose => {
+        let fixed = run_with_sharing(queueing::Sharing::Fixed, 9, 0.5);
+        let window = run_with_sharing(queueing::Sharing::Window, 9, 0.5);
+        assert!(
+            unanswered(&fixed) * 10 > fixed.offered,
+            "fixed shares must leave over a tenth unanswered",
+        );
+        assert!(
+            unanswered(&window) * 100 < window.offered,
+            "windows must leave under a hundredth unanswered",
+        );
     },
-    windows_are_refused_less_than_optimism => {
-        let optimistic = shared(queueing::Sharing::Optimistic, 9, 1.0 / 9.0);
-        let window = shared(queueing::Sharing::Window, 9, 1.0 / 9.0);
-        assert!(window.full * 10 < optimistic.full * 9, "{} {}", window.full, optimistic.full);
+    window_sharing_causes_fewer_refusals_than_optimistic_sharing => {
+        let optimistic = run_with_sharing(queueing::Sharing::Optimistic, 9, 1.0 / 9.0);
+        let window = run_with_sharing(queueing::Sharing::Window, 9, 1.0 / 9.0);
+        assert!(
+            window.full_refusals * 10 < optimistic.full_refusals * 9,
+            "{} {}",
+            window.full_refusals,
+            optimistic.full_refusals,
+        );
     },
-    two_choices_keep_the_tail_beside_slow_endpoints => {
-        let slow = queueing::Trouble::Slow(5.0);
-        let random = chosen(queueing::Choice::Random, slow, 3);
-        let two = chosen(queueing::Choice::TwoChoices, slow, 3);
-        assert!(two.quantile_ms(0.99) < random.quantile_ms(0.99));
-        assert!(two.at_trouble * 2 < random.at_trouble);
+    two_choices_avoid_slow_endpoints => {
+        let slow = queueing::Condition::Slow(5.0);
+        let random = run_with_choice(queueing::Choice::Random, slow, 3);
+        let two_choices = run_with_choice(queueing::Choice::TwoChoices, slow, 3);
+        assert!(two_choices.quantile_ms(0.99) < random.quantile_ms(0.99));
+        assert!(two_choices.faulty_attempts * 2 < random.faulty_attempts);
     },
-    a_fast_failure_is_left => {
-        let fail = queueing::Trouble::FailFast;
-        let least = chosen(queueing::Choice::LeastConnections, fail, 1);
-        let two = chosen(queueing::Choice::TwoChoices, fail, 1);
-        assert!(lost(&two) * 10 < lost(&least), "{} {}", lost(&two), lost(&least));
+    two_choices_eject_an_endpoint_that_fails_fast => {
+        let fail_fast = queueing::Condition::FailFast;
+        let least_connections = run_with_choice(queueing::Choice::LeastConnections, fail_fast, 1);
+        let two_choices = run_with_choice(queueing::Choice::TwoChoices, fail_fast, 1);
+        assert!(
+            unanswered(&two_choices) * 10 < unanswered(&least_connections),
+            "{} {}",
+            unanswered(&two_choices),
+            unanswered(&least_connections),
+        );
     },
-    goodput_keeps_its_plateau_beyond_the_capacity => {
-        let full = waited(queueing::Waiting::Bounded, 1.0);
-        let over = waited(queueing::Waiting::Bounded, 3.0);
-        let endless = waited(queueing::Waiting::Endless, 3.0);
-        assert!(over.answered * 100 > full.answered * 90, "{} {}", over.answered, full.answered);
-        assert!(over.answered > endless.answered * 2, "{} {}", over.answered, endless.answered);
+    bounded_queue_keeps_goodput_under_overload => {
+        let at_capacity = run_with_queue_policy(queueing::QueuePolicy::Bounded, 1.0);
+        let overloaded = run_with_queue_policy(queueing::QueuePolicy::Bounded, 3.0);
+        let endless = run_with_queue_policy(queueing::QueuePolicy::Endless, 3.0);
+        assert!(
+            overloaded.answered * 100 > at_capacity.answered * 90,
+            "{} {}",
+            overloaded.answered,
+            at_capacity.answered,
+        );
+        assert!(
+            overloaded.answered > endless.answered * 2,
+            "{} {}",
+            overloaded.answered,
+            endless.answered,
+        );
     },
-    paid_priority_is_kept_beyond_the_capacity => {
-        let over = waited(queueing::Waiting::Bounded, 3.0);
-        assert!(over.paid_answered * 100 > over.paid * 98, "{} {}", over.paid_answered, over.paid);
+    paid_requests_are_answered_under_overload => {
+        let overloaded = run_with_queue_policy(queueing::QueuePolicy::Bounded, 3.0);
+        assert!(
+            overloaded.paid_answered * 100 > overloaded.paid * 98,
+            "{} {}",
+            overloaded.paid_answered,
+            overloaded.paid,
+        );
     },
-    what_is_refused_is_refused_at_once => {
-        let over = waited(queueing::Waiting::Bounded, 3.0);
-        let median_us = over.refusal_us.value_at_quantile(0.5);
-        assert!(median_us * 10 < 500_000, "a tenth of the patience: {median_us}");
+    requests_are_refused_early_under_overload => {
+        let overloaded = run_with_queue_policy(queueing::QueuePolicy::Bounded, 3.0);
+        let median_us = overloaded.refusal_us.value_at_quantile(0.5);
+        assert!(
+            median_us * 10 < 500_000,
+            "the median refusal took over a tenth of the caller timeout: {median_us} us",
+        );
     },
-    the_loops_keep_targets_that_first_fit_misses => {
-        let site = harm::sites()[0].part(20);
-        let run = |policy| harm::run(&site, policy, time::Duration::from_secs(240));
-        let (first, at_once) = (run(harm::Policy::FirstFit), run(harm::Policy::EvictAtOnce));
-        let product = run(harm::Policy::Product);
-        assert!(product.over * 2 < first.over, "{product:?} {first:?}");
-        assert!(product.over * 2 < at_once.over, "{product:?} {at_once:?}");
-        assert!(product.evictions * 10 < at_once.evictions, "{product:?} {at_once:?}");
-        assert!(product.done * 100 > first.done * 75, "{product:?} {first:?}");
-        assert_eq!(product.broken, 0);
+    control_loops_miss_fewer_targets_than_first_fit_and_eviction => {
+        let site = interference::sites()[0].with_workers(20);
+        let run = |policy| interference::run(&site, policy, time::Duration::from_secs(240));
+        let (first_fit, evict_at_once) =
+            (run(interference::Policy::FirstFit), run(interference::Policy::EvictAtOnce));
+        let product = run(interference::Policy::Product);
+        assert!(product.seconds_over * 2 < first_fit.seconds_over, "{product:?} {first_fit:?}");
+        assert!(
+            product.seconds_over * 2 < evict_at_once.seconds_over,
+            "{product:?} {evict_at_once:?}",
+        );
+        assert!(product.evictions * 10 < evict_at_once.evictions, "{product:?} {evict_at_once:?}");
+        assert!(product.completed * 100 > first_fit.completed * 75, "{product:?} {first_fit:?}");
+        assert_eq!(product.violations, 0);
     },
-    retries_stay_within_their_budget => {
+    retries_stay_within_the_budget_when_all_endpoints_fail => {
         let mut setup = setup(6, 0.5);
-        setup.troubles.fill((queueing::Trouble::FailFast, time::Duration::from_secs(9)));
+        setup.conditions.fill((queueing::Condition::FailFast, time::Duration::from_secs(9)));
         let outcome = queueing::run(&setup, 4);
-        assert!(outcome.tries * 100 < outcome.asked * 113, "{} {}", outcome.tries, outcome.asked);
+        assert!(
+            outcome.attempts * 100 < outcome.offered * 113,
+            "{} {}",
+            outcome.attempts,
+            outcome.offered,
+        );
     },
 }
--- a/crates/bench/tests/player.sh
+++ b/crates/bench/tests/player.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Plays days for tests: they are worth what the tree says, and a little by seed; rule TWICE is broken where the
-# tree says so. An entry is left in the tree's journal.
+# Stands in for the player program in tests. The worth of a day is the content of the tree's file `worth` with the
+# seed as further digits. Rule TWICE is broken if the tree has a file `broken`, and there is no report if it has a
+# file `silent`. Each run leaves an entry in the tree's journal.
 [ "$1" = build ] && exit 0
 seed=; report=
 while [ $# -gt 0 ]; do
