--- a/crates/bench/src/fleet/mod.rs
+++ b/crates/bench/src/fleet/mod.rs
@@ -245,7 +245,7 @@
         self.cost.heartbeats += 1;
         let at = self.worker_indices[&heartbeat.worker];
         let worker = &mut self.workers[at];
-        worker.ended.retain(|ended| ended.number > heartbeat.seen);
+        worker.ended.retain(|ended| ended.number > heartbeat.acknowledged_end);
         let wait = if worker.ended.is_empty() { heartbeat.wait } else { time::Duration::ZERO };
         self.sequence += 1;
         let number = self.sequence;
--- a/crates/daemon/src/control/config.rs
+++ b/crates/daemon/src/control/config.rs
@@ -1,7 +1,7 @@
-//! Keeps the declared configuration of all hosts.
+//! Maintains the declared configuration, which is the same for all hosts.
 //!
 //! A submission is checked as a whole, stored as an object and put in force by one conditional
-//! write of the head row. A host never goes back to an older revision.
+//! write of the head row. A host never reverts to an older revision.
 
 use std::fmt::Write as _;
 use std::sync;
--- a/crates/daemon/src/control/gossip.rs
+++ b/crates/daemon/src/control/gossip.rs
@@ -1,7 +1,8 @@
 //! Sends configuration revisions, endpoint tables and digests to the other hosts.
 //!
-//! News is sent at once and digests once per round. Each peer has at most one message in flight. A
-//! peer that did not reply is sent all tables again, since it may have restarted without them.
+//! New revisions and tables are sent at once, digests once per round. Each peer has at most one
+//! message in flight. A peer that did not reply is sent all tables again, since it may have
+//! restarted without them.
 
 use std::collections;
 use std::net;
@@ -129,7 +130,7 @@
 }
 
 impl State {
-    /// Replaces the list of peers; the state of peers whose address is unchanged is kept.
+    /// Replaces the list of peers; those whose address is unchanged keep their state.
     fn set_peers(&mut self, peers: &collections::BTreeMap<id::HostId, net::SocketAddr>) {
         self.peers.retain(|host, peer_state| peers.get(host) == Some(&peer_state.addr));
         for (host, addr) in peers {
--- a/crates/daemon/src/control/hall.rs
+++ b/crates/daemon/src/control/hall.rs
@@ -126,7 +126,7 @@
     /// Returns the current summary of the hall.
     fn summarize(&self) -> msg::HallSummary {
         let holding = self.engine.holding();
-        let head = holding.map(hall::Holding::head).or(self.engine.seen());
+        let head = holding.map(hall::Holding::head).or(self.engine.last_head());
         msg::HallSummary {
             holder: head.and_then(|head| head.holder.clone()),
             epoch: head.map_or(0, |head| head.epoch),
--- a/crates/daemon/src/control/root.rs
+++ b/crates/daemon/src/control/root.rs
@@ -162,8 +162,8 @@
         Ok(())
     }
 
-    /// Records whether the platform answers; a host without a configuration asks its peers while it
-    /// does not.
+    /// Records whether the platform answers; while it does not, a host without a configuration
+    /// requests one from its peers.
     fn note_platform_up(&mut self, myself: &ractor::ActorRef<msg::Msg>, revision: Option<u64>) {
         let up = revision.is_some();
         if up != self.platform_up {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Asks every peer for its configuration and tables.
+    /// Requests the configuration and tables of every peer.
     fn request_handovers(&self, myself: &ractor::ActorRef<msg::Msg>) {
         let timeout = self.shared.time("gossip_ms") * 2;
         let listed = self.members.hosts.values().map(|member| member.peer_addr);
@@ -316,7 +316,7 @@
         gossip.digests.into_iter().try_for_each(|digest| self.forward_digest(digest))
     }
 
-    /// Tells every hall's actor to release its hall.
+    /// Requests every hall's actor to release its hall.
     fn leave(&mut self) -> Result<(), ractor::ActorProcessingErr> {
         self.stopping = true;
         for actor in self.halls.values() {
@@ -357,7 +357,7 @@
         });
     }
 
-    /// Returns the number of entry hosts that accept requests, at least 1.
+    /// Returns the number of hosts that accept requests, at least 1.
     fn live_hosts(&self) -> usize {
         let live = |host: &&members::Host| host.presence == members::Presence::Live;
         self.members.hosts.values().filter(live).count().max(1)
--- a/crates/daemon/src/host.rs
+++ b/crates/daemon/src/host.rs
@@ -1,7 +1,7 @@
-//! Runs an entry host: opens its ports, starts control and traffic, and shuts down without cutting
+//! Runs a host: opens its ports, starts control and traffic, and shuts down without cutting
 //! requests.
 //!
-//! At a stop, the host first reports itself as not ready and releases its halls; requests in flight
+//! To stop, the host first reports itself as not ready and releases its halls; requests in flight
 //! get a grace period to complete.
 
 use std::io;
@@ -32,7 +32,8 @@
 const OPERATOR_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 /// Longest time to wait at a stop until all halls are released.
 const RELEASE_TIMEOUT: time::Duration = time::Duration::from_secs(5);
-/// Interval at which queued requests are checked for endpoints that became free by time alone.
+/// Interval at which queued requests are checked for endpoints that became free as time passed,
+/// without an event.
 const QUEUE_POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 /// Interval between checks of whether all halls are released at a stop.
 const STOP_POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
@@ -303,7 +304,7 @@
         reply::json(StatusCode::OK, &applied)
     }
 
-    /// Asks the root actor for the status; `None` if it does not answer in time.
+    /// Requests the status from the root actor; `None` if it does not answer in time.
     async fn status(&self) -> Option<operator::Status> {
         let response = self.root.call(msg::Msg::Status, Some(OPERATOR_TIMEOUT)).await;
         match response {
--- a/crates/daemon/src/jobs/decided.rs
+++ b/crates/daemon/src/jobs/decided.rs
@@ -1,8 +1,8 @@
-//! Prevents a decision that has become too old from being sent.
+//! Prevents the sending of a decision that has become too old.
 //!
 //! A host may be suspended or frozen between a decision and the call that carries it out, and the
-//! state that it rests on may have changed since. Such a call is not made; the engine treats it
-//! like a call without an answer.
+//! state that the decision was based on may have changed since. Such a call is not made; the engine
+//! treats it like a call without an answer.
 
 use std::sync;
 use std::time;
@@ -35,7 +35,7 @@
         let age = self.clock.now().saturating_sub(self.at);
         let fresh = age <= MAX_AGE;
         if !fresh {
-            tracing::warn!(what, age_ms = age.as_millis(), "decided too long ago, not sent");
+            tracing::warn!(what, age_ms = age.as_millis(), "decision too old; not sent");
         }
         fresh
     }
--- a/crates/daemon/src/jobs/entries.rs
+++ b/crates/daemon/src/jobs/entries.rs
@@ -1,7 +1,7 @@
 //! Reads the entries of workers from the store's rows.
 //!
-//! Other programs write these rows. An entry that names no worker is skipped, and logged once per
-//! version of its row.
+//! Other programs write these rows. An invalid entry is skipped, and logged once per version of its
+//! row.
 
 use std::collections;
 use std::sync;
@@ -26,7 +26,7 @@
         rows.iter().filter_map(|row| self.read(row)?.1).collect()
     }
 
-    /// Returns the worker that a row names and its entry; `None` for a row of another part.
+    /// Returns the worker that a row is about and its entry; `None` for a row of another partition.
     ///
     /// An entry that has become invalid counts as removed: the worker gets no further tasks.
     pub fn read(&self, row: &rows::Row) -> Option<(id::WorkerId, Option<job::Member>)> {
@@ -56,7 +56,10 @@
             invalid.clear();
         }
         invalid.insert(row.name.clone(), row.version);
-        tracing::warn!(key = %row.name, version = row.version, %err, "an entry names no worker");
+        tracing::warn!(
+            key = %row.name, version = row.version, %err,
+            "invalid worker entry skipped"
+        );
     }
 
     /// Locks the versions of the invalid entries.
--- a/crates/daemon/src/jobs/halls.rs
+++ b/crates/daemon/src/jobs/halls.rs
@@ -1,7 +1,6 @@
 //! Tracks which halls the operator has closed, and carries out orders to close or open one.
 //!
-//! A hall is closed as long as its row stands in the operator's table; a hall without a row is
-//! open.
+//! A hall is closed while its row exists in the operator's table; a hall without a row is open.
 
 use std::collections;
 use std::sync;
@@ -14,14 +13,15 @@
 use super::Shared;
 use super::holder;
 
-/// Closed halls with the time at which this host learned of it, in seconds since 1970.
+/// Closed halls, each with the time at which this host learned of its closure, in seconds since
+/// 1970.
 pub type ClosedSince = collections::BTreeMap<id::HallId, u64>;
 
 /// Attempts at a conditional write that fails because of concurrent writes.
 const MAX_ATTEMPTS: usize = 3;
 
-/// Passes the closed halls to the holder after each answer of the store, which also tells the
-/// holder how recent its knowledge is.
+/// Passes the closed halls to the holder after each answer of the store, whether changed or not, so
+/// that the holder knows how recent its knowledge is.
 #[derive(Debug)]
 pub struct ClosedHallsFeed {
     /// State that the parts of the job service share.
@@ -101,7 +101,7 @@
     )
 }
 
-/// Writes or removes the row that closes a hall; returns whether the table is as wanted.
+/// Writes or removes the row that closes a hall; returns whether the table has the requested state.
 async fn write_row(
     shared: &Shared,
     key: &rows::Key,
--- a/crates/daemon/src/jobs/holder.rs
+++ b/crates/daemon/src/jobs/holder.rs
@@ -1,7 +1,7 @@
 //! The actor of a domain: runs the engine, executes its effects and feeds the results back as
 //! events.
 //!
-//! A host that has become too slow gives its domain up, so that another can take it.
+//! A host that has become too slow gives its domain up, so that another host can acquire it.
 
 use std::sync;
 use std::sync::atomic;
@@ -20,7 +20,7 @@
 
 /// Tick interval of the engine while this host holds the domain.
 const TICK_HOLDING: time::Duration = time::Duration::from_millis(20);
-/// Time within which a host must accept a connection; between halls it takes 2 ms.
+/// Time within which a probed host must accept a connection; between halls this takes 2 ms.
 const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(200);
 /// Bytes per second of a megabit per second.
 const BYTES_PER_MBIT: u64 = 125_000;
@@ -37,8 +37,7 @@
     },
     /// An event for the engine.
     Event(Box<job::Event>),
-    /// Request for a dump of the state that the holder keeps; null while this host is not the
-    /// holder.
+    /// Request for a dump of the holder's state; null while this host is not the holder.
     Dump(ractor::RpcReplyPort<serde_json::Value>),
     /// Request for whether the domain is fully released.
     IsReleased(ractor::RpcReplyPort<bool>),
@@ -123,7 +122,7 @@
                 }
             }
             Msg::IsReleased(port) => {
-                if port.send(state.engine.left()).is_err() {
+                if port.send(state.engine.is_watching()).is_err() {
                     tracing::debug!("the caller of the release check is gone");
                 }
             }
@@ -147,7 +146,7 @@
                 longest_ms = longest.as_millis(),
                 limit_ms,
                 holds,
-                "domain lags"
+                "events of the domain are handled late"
             );
         }
     }
@@ -165,14 +164,14 @@
         }
     }
 
-    /// Passes an event to the engine, executes the effects and updates the gauges.
+    /// Passes an event to the engine, executes its effects and updates the gauges.
     fn step(&mut self, myself: &ractor::ActorRef<Msg>, event: job::Event) {
-        let held = !self.engine.left();
+        let held = !self.engine.is_watching();
         let now = self.shared.clock.now();
         for effect in self.engine.step(now, event) {
             self.run_effect(myself, effect);
         }
-        if held && self.engine.left() {
+        if held && self.engine.is_watching() {
             self.generation.fetch_add(1, atomic::Ordering::Relaxed);
         }
         let metrics = &self.shared.metrics;
@@ -196,8 +195,8 @@
                 send_event(&myself, event);
             })),
             job::Effect::Probe { version, addr } => drop(tokio::spawn(async move {
-                let sign = probe(addr).await;
-                send_event(&myself, job::Event::Probed { version, sign });
+                let result = probe(addr).await;
+                send_event(&myself, job::Event::Probed { version, result });
             })),
             job::Effect::Load => {
                 let current = self.generation.load(atomic::Ordering::Relaxed);
@@ -229,17 +228,20 @@
                     send_event(&myself, job::Event::StopNotTaken(order));
                 }
             })),
-            job::Effect::Pace(pace) => drop(tokio::spawn(async move {
+            job::Effect::SetShare(change) => drop(tokio::spawn(async move {
                 if decided.allows_sending("pace") {
-                    shared.workers.pace(&pace).await;
+                    shared.workers.set_share(&change).await;
                 }
             })),
-            job::Effect::Ask(question) => drop(tokio::spawn(async move {
-                let answer = shared.advisor.ask(&question).await;
+            job::Effect::RequestAdvice(request) => drop(tokio::spawn(async move {
+                let answer = shared.advisor.ask(&request).await;
                 if let Err(err) = &answer {
-                    tracing::warn!(job = %question.job, step = question.step, %err, "no advice");
+                    tracing::warn!(
+                        job = %request.job, step = request.step, %err,
+                        "request for advice failed"
+                    );
                 }
-                send_event(&myself, job::Event::Advised { question, answer: answer.ok() });
+                send_event(&myself, job::Event::AdviceAnswered { request, answer: answer.ok() });
             })),
             job::Effect::SendHeartbeat(heartbeat) => drop(tokio::spawn(async move {
                 let answer = match decided.allows_sending("look") {
@@ -318,8 +320,8 @@
     } else {
         (shared.time("weak_wait_ms"), "weak_poll_ms")
     };
-    // A weak host sends heartbeats less often and gets the answers late, so it asks for the longest
-    // leases on workers.
+    // A weak host sends heartbeats less often and gets the answers late, so it requests the longest
+    // leases that workers grant.
     let task_lease =
         if strong { task_lease_max.min(shared.time("hold_ms")) } else { task_lease_max };
     job::Settings {
--- a/crates/daemon/src/jobs/mod.rs
+++ b/crates/daemon/src/jobs/mod.rs
@@ -27,15 +27,16 @@
     pub settings: sync::Arc<settings::Settings>,
     /// Monotonic clock of the engine.
     pub clock: sync::Arc<dyn clock::Clock>,
-    /// Client of the store, which keeps jobs, progress and leases.
+    /// Client of the store, which holds jobs, progress and leases.
     pub store: store::Store,
     /// Client of the workers.
     pub workers: workers::Workers,
-    /// Client of the service that knows which workers may run a step.
+    /// Client of the advice service, which decides which workers may run a step.
     pub advisor: advice::Advisor,
     /// Queues in force, from the configuration.
     pub queues: sync::Arc<arc_swap::ArcSwap<job::Queues>>,
-    /// Closed halls with the time at which this host learned of it, in seconds since 1970.
+    /// Closed halls, each with the time at which this host learned of its closure, in seconds since
+    /// 1970.
     pub closed: sync::Arc<arc_swap::ArcSwap<halls::ClosedSince>>,
     /// Whether this host is stopping.
     pub stopping: sync::Arc<atomic::AtomicBool>,
--- a/crates/daemon/src/jobs/run.rs
+++ b/crates/daemon/src/jobs/run.rs
@@ -1,7 +1,7 @@
 //! Runs the job service on a host: opens its ports and routes calls of callers and operators.
 //!
-//! At a stop, the host releases its lease first, so that another host can take over; calls in
-//! flight get a grace period to complete.
+//! To stop, the host first releases its lease, so that another host can take over; calls in flight
+//! get a grace period to complete.
 
 use std::sync;
 use std::sync::atomic;
@@ -28,7 +28,7 @@
 const BODY_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 /// Time to answer a call whose caller states no deadline.
 const DEFAULT_TIMEOUT: time::Duration = time::Duration::from_secs(3);
-/// Part of the caller's time that is reserved for the answer's way back.
+/// Part of the caller's time that is reserved for sending the answer back.
 const RESPONSE_MARGIN: time::Duration = time::Duration::from_millis(50);
 /// Longest time to wait at a stop until the lease is released.
 const RELEASE_TIMEOUT: time::Duration = time::Duration::from_millis(1_500);
@@ -85,7 +85,7 @@
     Ok(())
 }
 
-/// Releases the lease, so that another host may take it at once.
+/// Releases the lease, so that another host may acquire it at once.
 async fn release_lease(holder: &ractor::ActorRef<holder::Msg>) {
     holder::send_event(holder, job::Event::Leave);
     let released = async {
--- a/crates/daemon/src/jobs/service.rs
+++ b/crates/daemon/src/jobs/service.rs
@@ -13,10 +13,10 @@
 
 use super::Shared;
 
-/// Silence of the store after which submissions are rejected without trying it.
+/// Silence of the store after which submissions are rejected without a call to it.
 const LOST_AFTER: time::Duration = time::Duration::from_millis(1_200);
-/// Share of a caller's time in which this host tries to store a submitted job, in percent; leaves
-/// as much for another host.
+/// Share of a caller's time in which this host tries to store a submitted job, in percent; as much
+/// is left for an attempt by another host.
 const LOCAL_TIME_PERCENT: u32 = 45;
 /// Delay before a call to the store is retried.
 const RETRY_DELAY: time::Duration = time::Duration::from_millis(100);
@@ -25,8 +25,8 @@
 const MAX_COUNTS_AGE: time::Duration = time::Duration::from_secs(2);
 /// Time for which counts are cached; bounds this host's reads of them to about two a second.
 const COUNTS_TTL: time::Duration = time::Duration::from_millis(500);
-/// Time for which a failed read of the counts is cached, for callers that waited behind it or come
-/// right after.
+/// Time for which a failed read of the counts is cached, for callers that waited for it or call
+/// soon after.
 const FAILURE_TTL: time::Duration = time::Duration::from_millis(100);
 
 /// The job service as callers use it.
@@ -88,8 +88,8 @@
         if self.counts.is_none() {
             return now.saturating_sub(self.ended_at) < FAILURE_TTL;
         }
-        // Counts that were too old when read are cached all the same, so that not every caller
-        // reads them again; counts that have become too old since are read again.
+        // Counts that were already too old when read stay cached, so that not every caller reads
+        // them again; counts that have become too old since then are read again.
         let expired =
             self.fresh_counts(self.ended_at).is_some() && self.fresh_counts(now).is_none();
         now.saturating_sub(self.ended_at) < COUNTS_TTL && !expired
@@ -125,7 +125,7 @@
             return job::Answer::Refused(refusal);
         }
         if self.shared.store_silence() >= LOST_AFTER {
-            // Nothing was sent, so the caller may ask another host at once.
+            // Nothing was sent, so the caller may try another host at once.
             return self.not_taken(self.shared.store_failure_cause(), &id, deadline);
         }
         let key = job::job_key(self.domain(id), id);
@@ -143,7 +143,7 @@
             writes: vec![rows::Write { key: key.clone(), value: Some(value) }],
         };
         // Another host may reach the store although this one does not, so the caller gets its
-        // answer early enough to ask there.
+        // answer early enough to try there.
         let now = self.shared.clock.now();
         let give_up_at = now + deadline.saturating_sub(now) * LOCAL_TIME_PERCENT / 100;
         let write = self.write_job_row(&key, &txn, give_up_at);
@@ -218,7 +218,7 @@
         Ok(accepted.map_or(job::Answer::NoJob, |row| job::Answer::State(accepted_phase(&row))))
     }
 
-    /// Cancels a job; it counts as cancelled once its row says so.
+    /// Cancels a job; it counts as cancelled once its row is marked.
     async fn cancel(&self, id: job::JobId, deadline: time::Duration) -> job::Answer {
         let key = job::job_key(self.domain(id), id);
         loop {
@@ -359,7 +359,10 @@
         let (idle_ms, left_ms) = (idle.as_millis(), left.as_millis());
         let cause = cause.label();
         self.shared.metrics.gave_up.with_label_values(&["jobs", cause]).inc();
-        tracing::info!(%about, cause, idle_ms, left_ms, after_s = after.as_secs(), "caller sent off");
+        tracing::info!(
+            %about, cause, idle_ms, left_ms, after_s = after.as_secs(),
+            "call answered with a retry delay"
+        );
         after
     }
 
--- a/crates/daemon/src/jobs/watch.rs
+++ b/crates/daemon/src/jobs/watch.rs
@@ -21,8 +21,8 @@
 /// connection is only detected after this time plus `FEED_SLACK`, so it uses what
 /// `MAX_FEED_SILENCE` allows.
 const FEED_WAIT: time::Duration = time::Duration::from_millis(850);
-/// The same for accepted jobs, where every answer extends the time up to which the holder knows
-/// them all. Counts are written every 0.7 s in addition, and may be 2 s old when they are reported.
+/// The same for accepted jobs, where every answer extends the time up to which the holder knows all
+/// of them. Counts are only written every 0.7 s, and may be 2 s old when they are reported.
 const JOBS_FEED_WAIT: time::Duration = time::Duration::from_millis(700);
 /// Longest time that a feed may wait on a silent connection: a configuration must be in force 2 s
 /// after its acknowledgement, and half a second is left for the next call and the processing.
@@ -30,7 +30,7 @@
 /// Delay before a call is retried that was answered with an error or found no connection.
 const RETRY_DELAY: time::Duration = time::Duration::from_millis(200);
 
-/// Interval at which a read of the whole state checks whether its lease term still lasts.
+/// Interval at which a read of the whole state checks whether its lease term has ended.
 const TERM_POLL_INTERVAL: time::Duration = time::Duration::from_millis(100);
 /// Number of parts of the accepted jobs that are read concurrently. The link of a weak host, 10
 /// Mbit/s, has to carry a configuration within 3 s beside a read of the whole state, and each
@@ -101,7 +101,7 @@
                 holder::send_event(holder, job::Event::Queues(queues));
             }
             Ok(_) => {}
-            Err(err) => tracing::error!(%err, "configuration rejected, the last one stays"),
+            Err(err) => tracing::error!(%err, "configuration rejected; keeping the last"),
         }
     }
 }
@@ -132,12 +132,12 @@
                 self.read_closed_halls(),
             )
         };
-        // A read may outlast its lease term. The next term would take the old rows for the current
-        // state, with nobody following their changes, and a weak link would carry both reads.
+        // A read may outlast its lease term. The next term would then use the old rows as the
+        // current state without their changes, and a weak link would carry both reads.
         let read = tokio::select! {
             read = reads => read,
             () = self.lease_term_ended() => {
-                return tracing::info!(domain, "state read for a lease term that has ended, ignored");
+                return tracing::info!(domain, "ignored the state read for an ended lease term");
             }
         };
         let (Ok(workers), Ok(jobs), Ok(progress), Ok(learned), closed) = read else {
@@ -148,7 +148,7 @@
             return;
         };
         if !self.is_current() {
-            return tracing::info!(domain, "state read for a lease term that has ended, ignored");
+            return tracing::info!(domain, "ignored the state read for an ended lease term");
         }
         let versions = (workers.version, jobs.version);
         let jobs_read_up_to_ms = jobs.now_ms;
@@ -159,7 +159,7 @@
             }
             // The feed of the operator's table may deliver the closed halls soon; the engine bounds
             // the wait for them.
-            Err(err) => tracing::warn!(domain, %err, "closed halls not read, nothing starts yet"),
+            Err(err) => tracing::warn!(domain, %err, "closed halls unknown; nothing starts yet"),
         }
         let loaded =
             job::Event::Loaded { jobs: jobs.rows, progress: progress.rows, learned: learned.rows };
@@ -206,7 +206,7 @@
 
     /// Sends accepted jobs and the time up to which they are complete.
     fn send_jobs(&self, page: rows::Page) {
-        // An incomplete page is followed by further jobs that may be as old as its last one.
+        // Further jobs follow an incomplete page and may be as old as its last one.
         let jobs_read_up_to_ms = page.now_ms.filter(|_| !page.more);
         if !page.rows.is_empty() {
             holder::send_event(&self.holder, job::Event::Jobs(page.rows));
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemon of an entry host as a library.
+//! The gateway daemon as a library.
 //!
 //! Actors on one thread make the control decisions; a thread pool of its own serves requests.
 
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The `wharflaned` binary: reads the settings, starts logging and runs one entry host.
+//! The `wharflaned` binary: reads the settings, starts logging and runs one host.
 
 use std::fs;
 use std::path;
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -50,11 +50,11 @@
     pub hall_closed: prometheus::IntGaugeVec,
     /// Delay of the job service's last tick behind its due time, in milliseconds.
     pub holder_lag_ms: prometheus::IntGauge,
-    /// Jobs given up because workers crashed under their tasks, since this host took the lease.
+    /// Jobs failed because workers crashed under their tasks, since this host acquired the lease.
     pub jobs_given_up: prometheus::IntGauge,
-    /// Workers found to have restarted under the same id, since this host took the lease.
+    /// Workers found to have restarted under the same id, since this host acquired the lease.
     pub workers_restarted: prometheus::IntGauge,
-    /// Commits by hall, since this host took its lease.
+    /// Commits by hall, since this host acquired its lease.
     pub commits: prometheus::IntGaugeVec,
     /// Records in those commits, by hall.
     pub commit_records: prometheus::IntGaugeVec,
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -174,7 +174,8 @@
     Jobs {
         /// Address of the store.
         store: net::SocketAddr,
-        /// Address of the advisor, which knows which workers may run a step; `None` to do without.
+        /// Address of the advice service, which decides which workers may run a step; `None` if
+        /// there is none.
         advisor: Option<net::SocketAddr>,
     },
 }
@@ -192,7 +193,7 @@
     pub operator_addr: net::SocketAddr,
     /// Address on which peers connect.
     pub peer_addr: net::SocketAddr,
-    /// Peers to ask while the platform's member list can't be read.
+    /// Peers to contact while the platform's member list can't be read.
     pub seed_peers: Vec<net::SocketAddr>,
     /// What the host schedules.
     pub mode: Mode,
--- a/crates/daemon/src/traffic/balancer.rs
+++ b/crates/daemon/src/traffic/balancer.rs
@@ -181,7 +181,7 @@
         Self { name, limits, metrics, state: sync::Mutex::new(state) }
     }
 
-    /// Replaces the endpoints; what is known about those that stay is kept.
+    /// Replaces the endpoints; those that stay keep their health and statistics.
     pub fn update(
         self: &sync::Arc<Self>,
         service: &desired::Service,
@@ -381,7 +381,7 @@
             };
             let mut found = self.grant(state, addr, now, &mut grants);
             if !found && let Some(other) = reserve(state, now, Some(addr)) {
-                // All waiting requests avoid the first endpoint, so the next of them takes any
+                // All waiting requests avoid the first endpoint, so the next of them gets any
                 // other.
                 found = self.grant(state, other, now, &mut grants);
             }
@@ -424,7 +424,7 @@
         }
     }
 
-    /// Grants capacity that became free by time alone, such as at the end of an ejection.
+    /// Grants capacity that became free as time passed, such as at the end of an ejection.
     pub fn tick(self: &sync::Arc<Self>, now: time::Duration) {
         let grants = {
             let mut state = self.lock();
--- a/crates/daemon/src/traffic/duplicates.rs
+++ b/crates/daemon/src/traffic/duplicates.rs
@@ -11,7 +11,7 @@
 /// Ids of recent requests.
 #[derive(Debug)]
 pub struct RecentRequests {
-    /// Time for which an id is kept.
+    /// How long an id is remembered.
     window: time::Duration,
     /// Ids in both orders, under one lock.
     state: sync::Mutex<State>,
@@ -27,7 +27,7 @@
 }
 
 impl RecentRequests {
-    /// Creates an empty set that keeps ids for `window`.
+    /// Creates an empty set that remembers ids for `window`.
     pub fn new(window: time::Duration) -> Self {
         Self { window, state: sync::Mutex::default() }
     }
--- a/crates/daemon/src/traffic/forward.rs
+++ b/crates/daemon/src/traffic/forward.rs
@@ -1,7 +1,7 @@
 //! Forwards the body of an answer to the caller frame by frame.
 //!
-//! A body that was cut short ends with an error, so that it never looks complete. The connection to
-//! the endpoint is reused only after a complete body.
+//! A body that was cut short ends with an error, so that the caller never takes it for complete.
+//! The connection to the endpoint is reused only after a complete body.
 
 use std::pin;
 use std::sync;
@@ -136,7 +136,10 @@
         if let Some(context) = &self.context {
             let (service, addr) = (&context.service, context.lease.addr());
             let retired = context.lease.retire_idle();
-            tracing::info!(service, %addr, ?stall, retired, "an answer made no progress and is aborted");
+            tracing::info!(
+                service, %addr, ?stall, retired,
+                "an answer made no progress and is aborted"
+            );
         }
         self.abort();
         task::Poll::Ready(Stalled { stall })
--- a/crates/daemon/src/traffic/mod.rs
+++ b/crates/daemon/src/traffic/mod.rs
@@ -34,7 +34,7 @@
     pub classes: collections::BTreeMap<id::ClassId, u32>,
     /// Endpoints of each service, with their halls.
     pub endpoints: collections::BTreeMap<id::ServiceId, Vec<(id::HallId, endpoints::Endpoint)>>,
-    /// Number of entry hosts that share the endpoints.
+    /// Number of hosts that share the endpoints.
     pub hosts: usize,
 }
 
@@ -86,7 +86,7 @@
 }
 
 impl Traffic {
-    /// Creates a request path that knows no service yet.
+    /// Creates a request path without services.
     #[must_use]
     pub fn new(
         settings: &settings::Settings,
--- a/crates/daemon/src/traffic/serve.rs
+++ b/crates/daemon/src/traffic/serve.rs
@@ -19,7 +19,7 @@
 use super::balancer;
 use super::forward;
 
-/// Shortest delay after which a caller is asked to retry.
+/// Shortest retry delay that a caller is given.
 const MIN_RETRY_AFTER: time::Duration = time::Duration::from_secs(1);
 
 /// Largest number of rejections by full endpoints that a request may meet.
@@ -52,7 +52,7 @@
     addr: std::net::SocketAddr,
 }
 
-/// The result of an attempt with a hedged one beside it.
+/// The result of an attempt with a hedged one in parallel.
 #[derive(Debug)]
 enum HedgedResult {
     /// The first attempt ended.
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Returns whether a further attempt is allowed, apart from the retry budget.
+    /// Returns whether a further attempt is allowed, regardless of the retry budget.
     fn may_attempt_again(&self, call: &Call<'_>, attempts: &outcome::Attempts) -> bool {
         let allowed =
             attempts.made() < self.limits.max_attempts && self.clock.now() < call.deadline;
@@ -200,7 +200,7 @@
         self.metrics.retries.with_label_values(&[call.parsed.service.as_str()]).inc();
     }
 
-    /// Makes one attempt, and a hedged one beside it if the first has no answer after half of the
+    /// Makes one attempt, and a hedged one in parallel if the first has no answer after half of the
     /// time left.
     async fn attempt_with_hedge(
         &self,
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Makes a hedged attempt beside one that may be lost, and returns the first answer of both.
+    /// Makes a hedged attempt in parallel to one that may be lost, and returns the first answer.
     async fn hedge(
         &self,
         call: &Call<'_>,
@@ -293,7 +293,10 @@
         let retired = self.pool.retire(addr);
         if retired > 0 {
             let (service, request) = (call.parsed.service.as_str(), call.request_id);
-            tracing::info!(service, request, %addr, ?quiet, retired, "no answer for half of the time");
+            tracing::info!(
+                service, request, %addr, ?quiet, retired,
+                "no answer for half of the time"
+            );
         }
     }
 
@@ -393,7 +396,7 @@
             sent,
             received_at: call.received_at,
             service,
-            // An endpoint that fails fast must not look idle.
+            // An endpoint that fails fast must not appear idle.
             healthy: !head.status.is_server_error(),
             in_flight,
         };
@@ -415,7 +418,7 @@
         reply::error_reply(rejection.why, rejection.outcome, request_id, rejection.retry_after)
     }
 
-    /// Grants queued requests whose endpoint became free by time alone.
+    /// Grants queued requests whose endpoint became free as time passed.
     pub fn tick(&self) {
         let now = self.clock.now();
         for balancer in self.balancers.load().values() {
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -54,7 +54,7 @@
     },
     an_address_used_twice_is_a_fault => {
         let found = faults(&text("").replace("127.0.0.1:2", "127.0.0.1:1"));
-        assert!(found.contains("`127.0.0.1:1` stands twice"), "{found}");
+        assert!(found.contains("`127.0.0.1:1` is used twice"), "{found}");
     },
     a_task_lease_shorter_than_a_change_of_holder_is_a_fault => {
         let found = faults(&text("[control]\nworker_lease_ms = 3000\n"));
--- a/crates/daemon/tests/silence/callers.rs
+++ b/crates/daemon/tests/silence/callers.rs
@@ -26,7 +26,7 @@
     let caller = connect(proxy.addr).await;
     tokio::time::sleep(LIMIT / 3).await;
     proxy.silence();
-    assert!(is_served(proxy.addr).await, "the slot is not given back");
+    assert!(is_served(proxy.addr).await, "the slot is not released");
     drop(caller);
 }
 
@@ -37,7 +37,7 @@
     caller.write_all(HALF_PREFACE).await.expect("written");
     tokio::time::sleep(LIMIT / 3).await;
     proxy.silence();
-    assert!(is_served(proxy.addr).await, "the slot is not given back");
+    assert!(is_served(proxy.addr).await, "the slot is not released");
     drop(caller);
 }
 
@@ -49,7 +49,7 @@
     let mut start = [0; 8];
     caller.read_exact(&mut start).await.expect("an answer");
     proxy.silence();
-    assert!(is_served(proxy.addr).await, "the slot is not given back");
+    assert!(is_served(proxy.addr).await, "the slot is not released");
     drop(caller);
 }
 
@@ -61,7 +61,7 @@
     caller.write_all(half).await.expect("written");
     tokio::time::sleep(LIMIT / 3).await;
     proxy.silence();
-    assert!(is_served(proxy.addr).await, "the slot is not given back");
+    assert!(is_served(proxy.addr).await, "the slot is not released");
     drop(caller);
 }
 
@@ -73,7 +73,7 @@
     let mut start = [0; 8];
     caller.read_exact(&mut start).await.expect("an answer");
     proxy.silence();
-    assert!(is_served(proxy.addr).await, "the slot is not given back");
+    assert!(is_served(proxy.addr).await, "the slot is not released");
     drop(caller);
 }
 
@@ -111,7 +111,7 @@
     let mut caller = connect_http_2(proxy.addr).await;
     assert!(is_answered_http_2(&mut caller).await, "no answer before");
     proxy.silence();
-    assert!(is_served(proxy.addr).await, "the slot is not given back");
+    assert!(is_served(proxy.addr).await, "the slot is not released");
     drop(caller);
 }
 
--- a/crates/daemon/tests/silence/peers.rs
+++ b/crates/daemon/tests/silence/peers.rs
@@ -27,8 +27,8 @@
 /// More bytes than the buffers of two loopback sockets hold.
 const LONG_MESSAGE_BYTES: usize = 24 << 20;
 
-/// After its connection has gone silent, gossip continues over a new one, and news is sent again at
-/// once.
+/// After its connection has gone silent, gossip continues over a new one, and what was lost is sent
+/// again at once.
 pub async fn gossip_goes_on() {
     let log = PeerLog::default();
     let proxy = start_peer(LONG_IDLE, &log).await;
@@ -37,7 +37,7 @@
     let actor = start_gossip(proxy.addr, metrics.clone()).await;
     until(|| log.calls() >= 3).await;
     assert_eq!(proxy.opened(), 1, "the connection is kept between rounds");
-    // News is sent outside the rounds, so the lost call may be the one that carries it.
+    // A new revision is sent outside the rounds, so the lost call may be the one that carries it.
     proxy.silence();
     actor.cast(gossip::Msg::Revision(5)).expect("told");
     until(|| log.revision() == 5).await;
--- a/crates/daemon/tests/stale_load.rs
+++ b/crates/daemon/tests/stale_load.rs
@@ -1,5 +1,5 @@
-//! A read of the state that outlasts its lease term must not be sent to the next term, which would
-//! take old rows for the current state.
+//! A state read that outlasts its lease term must not be sent to the next term, which would use old
+//! rows as the current state.
 
 use std::sync;
 use std::sync::atomic;
--- a/crates/daemon/tests/traffic.rs
+++ b/crates/daemon/tests/traffic.rs
@@ -1,5 +1,5 @@
-//! Runs every scenario under tests/traffic: one host, endpoints with faults, callers, and checks
-//! that use only what the endpoints ran and what each caller was told.
+//! Runs every scenario under tests/traffic: one host, endpoints with faults and callers. The checks
+//! use only the runs at the endpoints and the answers to the callers.
 //!
 //! Each scenario runs twice. In real time, on many threads, the invariants must hold however slow
 //! the machine is. In virtual time, which advances only while all sockets are idle, the counts must
--- a/crates/http/tests/silence.rs
+++ b/crates/http/tests/silence.rs
@@ -145,7 +145,7 @@
             worker: self.incarnation.clone(),
             addr: self.proxy.addr,
             epoch: 1,
-            seen: 0,
+            acknowledged_end: 0,
             lease_until_ms: None,
             wait,
         };
--- a/crates/stand-in/src/jobs/effects.rs
+++ b/crates/stand-in/src/jobs/effects.rs
@@ -32,7 +32,7 @@
                         (true, false) => job::ProbeResult::Refused,
                         (true, true) => job::ProbeResult::Silent,
                     };
-                let event = Box::new(job::Event::Probed { version, sign });
+                let event = Box::new(job::Event::Probed { version, result: sign });
                 self.send(delay, Message::Back(host, incarnation, event));
             }
             job::Effect::Load => {
@@ -80,7 +80,7 @@
                 let deadline = self.now + delay + heartbeat.wait;
                 self.send(delay, Message::Heartbeat(host, incarnation, heartbeat, deadline, lost));
             }
-            job::Effect::Pace(_) | job::Effect::Ask(_) | job::Effect::Drop(..) => {}
+            job::Effect::SetShare(_) | job::Effect::RequestAdvice(_) | job::Effect::Drop(..) => {}
         }
     }
 
--- a/crates/stand-in/src/jobs/server.rs
+++ b/crates/stand-in/src/jobs/server.rs
@@ -326,7 +326,10 @@
             let ticket = ticket(&step, &worker);
             (worker, ticket)
         });
-        server_codec::advice(&job::Advice { good: allowed.collect(), valid: ADVICE_TIMING.valid })
+        server_codec::advice(&job::Advice {
+            accepted: allowed.collect(),
+            valid: ADVICE_TIMING.valid,
+        })
     }
 
     /// Answers a call to a worker.
@@ -352,7 +355,7 @@
             Some(server_codec::WorkerCall::Heartbeat(heartbeat)) => {
                 self.handle_heartbeat(at, &heartbeat).await
             }
-            Some(server_codec::WorkerCall::Pace(_)) => {
+            Some(server_codec::WorkerCall::SetShare(_)) => {
                 server_codec::order_done(self.lock().workers[at].clock_ms(self.clock.now()))
             }
             None => reply::problem(StatusCode::BAD_REQUEST, "call", "no such call"),
@@ -393,7 +396,11 @@
                 let State { workers, checker, .. } = &mut *state;
                 let worker = &mut workers[at];
                 if worker.has_same_id(&heartbeat.worker) {
-                    checker.record_acknowledged(worker.ended(), heartbeat.seen, worker.stale_upto);
+                    checker.record_acknowledged(
+                        worker.ended(),
+                        heartbeat.acknowledged_end,
+                        worker.stale_upto,
+                    );
                 }
                 let answer = worker.handle_heartbeat(heartbeat, now);
                 let none_ended =
--- a/crates/stand-in/src/jobs/worker.rs
+++ b/crates/stand-in/src/jobs/worker.rs
@@ -231,7 +231,7 @@
         if let Some(lease_until_ms) = heartbeat.lease_until_ms {
             self.extend(lease_until_ms, now);
         }
-        self.ended.retain(|ended| ended.number > heartbeat.seen);
+        self.ended.retain(|ended| ended.number > heartbeat.acknowledged_end);
         let running = self.runs.iter().map(|(task, run)| job::Running {
             task: *task,
             run: run.run,
--- a/crates/stand-in/src/jobs/workers.rs
+++ b/crates/stand-in/src/jobs/workers.rs
@@ -72,7 +72,7 @@
                     matches!(&answer, job::HeartbeatAnswer::Lists(l) if !l.ended.is_empty());
                 let stale = found.stale_upto;
                 if matches!(answer, job::HeartbeatAnswer::Lists(_)) {
-                    self.checker.record_acknowledged(&ended, heartbeat.seen, stale);
+                    self.checker.record_acknowledged(&ended, heartbeat.acknowledged_end, stale);
                 }
                 if !has_ended_runs
                     && now < deadline
--- a/crates/wharflane/src/commit.rs
+++ b/crates/wharflane/src/commit.rs
@@ -2,7 +2,7 @@
 //!
 //! At most one transaction is in flight. If its outcome is unknown, the writer reads the head row
 //! back and compares the token, and sends the identical transaction again only if the row is
-//! unchanged. It never assumes an outcome.
+//! unchanged. An outcome is never assumed.
 
 use crate::lease;
 use crate::platform;
--- a/crates/wharflane/src/desired.rs
+++ b/crates/wharflane/src/desired.rs
@@ -211,8 +211,8 @@
     if halls.is_empty() {
         return None;
     }
-    // Tasks are dealt to the halls in turn. The first hall depends on the name, so that owners with
-    // few tasks are spread over all halls too.
+    // Tasks are assigned to the halls round-robin. The first hall depends on the name, so that
+    // owners with few tasks are spread over all halls too.
     let start = rendezvous::weight("", name) % halls.len() as u64;
     let turn = (start + u64::from(index)) % halls.len() as u64;
     halls.get(usize::try_from(turn).ok()?)
--- a/crates/wharflane/src/hall/cost.rs
+++ b/crates/wharflane/src/hall/cost.rs
@@ -1,5 +1,5 @@
-//! Estimates the interference cost of placing a task on a worker: latency targets that services
-//! would miss there, and CPU that the task would lose to throttling.
+//! Estimates the interference cost of placing a task on a worker: the latency targets that services
+//! would miss there, and the speed that the task would lose to throttling.
 
 use std::sync;
 
@@ -13,8 +13,8 @@
 const SLOWDOWN_WEIGHT: f64 = 0.5;
 
 impl holding::Holding {
-    /// Returns by which share the worst service on a worker is predicted to miss its latency target
-    /// if the task were added there at a share of its speed. Below zero every target is met.
+    /// Returns the share of its latency target by which the worst service on a worker is predicted
+    /// to miss it if the task runs there at `percent` of its speed. Below zero every target is met.
     pub(super) fn predicted_miss(&self, slot: &slot::Slot, spec: &spec::Spec, percent: u8) -> f64 {
         let owners = slot.owners.get_or_init(|| self.owners_on(&slot.worker));
         let mut neighbours = job_shares(owners);
--- a/crates/wharflane/src/hall/dump.rs
+++ b/crates/wharflane/src/hall/dump.rs
@@ -52,7 +52,7 @@
         let holding = self.holding();
         Dump {
             hall: &self.hall,
-            head: holding.map(holding::Holding::head).or(self.seen()),
+            head: holding.map(holding::Holding::head).or(self.last_head()),
             tasks: holding.map(holding::Holding::task_counts).unwrap_or_default(),
             waiting: holding.map(holding::Holding::wait_reasons).unwrap_or_default(),
             workers: holding.map(|h| h.worker_dumps(now)).unwrap_or_default(),
--- a/crates/wharflane/src/hall/holding.rs
+++ b/crates/wharflane/src/hall/holding.rs
@@ -21,7 +21,7 @@
 use crate::platform;
 use crate::task_table;
 
-/// How many decisions are kept for the state dump.
+/// Maximum number of decisions in the state dump.
 const MAX_DECISIONS: usize = 64;
 /// A sequence number that marks a record that is not part of any commit yet.
 const NOT_IN_COMMIT: u64 = u64::MAX;
@@ -67,7 +67,7 @@
     },
 }
 
-/// What the holder has done since it acquired the hall.
+/// Counts of the holder's actions since it acquired the hall, for the state dump and metrics.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counters {
     /// Successful commits.
@@ -110,7 +110,7 @@
     /// The holder's view of each worker.
     pub(super) views: collections::BTreeMap<id::WorkerId, view::WorkerView>,
     /// When every lease granted by an earlier holder has expired.
-    pub(super) old_leases_lapse: time::Duration,
+    pub(super) old_leases_expire_at: time::Duration,
     /// The configuration in force.
     pub(super) current: Option<sync::Arc<super::Current>>,
     /// The tasks that the configuration assigns to this hall.
@@ -119,7 +119,7 @@
     pub(super) waiting: collections::BTreeSet<slot::WaitingKey>,
     /// Why tasks of each shape could not be placed in the last pass.
     pub(super) blocked: collections::BTreeMap<slot::Shape, slot::WaitReason>,
-    /// Tasks that wait for a preemption, with the worker on which it takes place.
+    /// Tasks that wait for a preemption, with the worker whose tasks are evicted for them.
     pub(super) preempting: collections::BTreeMap<id::TaskId, id::WorkerId>,
     /// The measured CPU use of a task of each owner, in thousandths of a core.
     pub(super) cpu_use: collections::BTreeMap<String, f64>,
@@ -149,7 +149,7 @@
     uploaded_snapshot: Option<lease::Snapshot>,
     /// The most recent decisions.
     decisions: collections::VecDeque<Decision>,
-    /// What the holder has done so far.
+    /// The counts of the holder's actions.
     pub(super) counters: Counters,
 }
 
@@ -166,11 +166,11 @@
         let epoch = committer.head().epoch;
         let table =
             endpoints::Table { hall: hall.clone(), epoch, version: 0, endpoints: Vec::new() };
-        let old_leases_lapse = now + settings.authority + lease;
+        let old_leases_expire_at = now + settings.authority + lease;
         let named_snapshot = committer.head().snapshot.clone();
         let views = task_table
             .workers()
-            .map(|worker| (worker.clone(), view::WorkerView::new(old_leases_lapse)))
+            .map(|worker| (worker.clone(), view::WorkerView::new(old_leases_expire_at)))
             .collect();
         Self {
             hall,
@@ -180,7 +180,7 @@
             queue: Vec::new(),
             uncommitted: collections::BTreeMap::new(),
             views,
-            old_leases_lapse,
+            old_leases_expire_at,
             current: None,
             wanted: spec::Wanted::new(),
             waiting: collections::BTreeSet::new(),
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Runs everything that is due: decisions, commits, and messages to workers.
+    /// Makes the decisions, commits and messages to workers that are due.
     pub(super) fn tick(
         &mut self,
         now: time::Duration,
@@ -237,7 +237,7 @@
         &self.task_table
     }
 
-    /// Returns what the holder has done so far.
+    /// Returns the counts of the holder's actions.
     #[must_use]
     pub fn counters(&self) -> &Counters {
         &self.counters
@@ -310,7 +310,7 @@
             if member.hall != self.hall || self.views.contains_key(worker) {
                 continue;
             }
-            let mut view = view::WorkerView::new(self.old_leases_lapse);
+            let mut view = view::WorkerView::new(self.old_leases_expire_at);
             view.set_member(Some(member), now);
             self.views.insert(worker.clone(), view);
         }
--- a/crates/wharflane/src/hall/mitigation.rs
+++ b/crates/wharflane/src/hall/mitigation.rs
@@ -31,14 +31,14 @@
         harm_by_service
     }
 
-    /// Records the digest of a host; per worker, the worst miss of an interval counts.
+    /// Records the digest of a host; only the worst miss of an interval counts for each worker.
     pub(super) fn record_digest(&mut self, digest: &digest::Digest) {
         for stats in &digest.endpoints {
             self.record_endpoint_stats(stats);
         }
     }
 
-    /// Records by which share an endpoint missed its latency target.
+    /// Records the share of its latency target by which an endpoint missed it.
     fn record_endpoint_stats(&mut self, stats: &digest::EndpointStats) {
         let Some(target_ms) = self.wanted.get(&stats.task).and_then(|s| s.latency_target_ms) else {
             return;
@@ -138,8 +138,8 @@
         });
         let candidate = |(task, entry): (&id::TaskId, &task_table::Entry)| {
             let spec = self.wanted.get(task)?;
-            let elsewhere = slots.iter().filter(|slot| slot.worker != *worker);
-            let mut room = elsewhere.filter(|slot| entry.size.fits(&slot.free()));
+            let other_slots = slots.iter().filter(|slot| slot.worker != *worker);
+            let mut room = other_slots.filter(|slot| entry.size.fits(&slot.free()));
             Some(interference::Candidate {
                 task: task.clone(),
                 harm: self.interference.harm(&service.owner, &task.owner),
--- a/crates/wharflane/src/hall/mod.rs
+++ b/crates/wharflane/src/hall/mod.rs
@@ -1,8 +1,8 @@
 //! The scheduling engine of one hall on one host.
 //!
-//! The engine observes the hall's lease, takes it when it is free, and as the holder places the
-//! hall's tasks on workers. It performs no I/O and never blocks: the host passes events in and
-//! executes the effects that come out.
+//! The engine observes the hall's lease and acquires it when it is free. While this host holds the
+//! lease, the engine places the hall's tasks on workers. It performs no I/O and never blocks: the
+//! host passes events in and executes the effects that come out.
 
 mod cost;
 mod dump;
@@ -160,9 +160,9 @@
 enum Role {
     /// Another host may hold the hall.
     Watching,
-    /// The transaction that takes the lease is in flight.
+    /// The transaction that acquires the lease is in flight.
     Acquiring(commit::Committer),
-    /// The lease is taken; the state is being read.
+    /// The lease is held; the state is being read.
     Loading(commit::Committer),
     /// This host holds the hall.
     Holding(Box<Holding>),
@@ -182,7 +182,7 @@
     /// The observations of the head row.
     observer: lease::Observer,
     /// The newest head row that was read, with its version.
-    seen: Option<(u64, lease::Head)>,
+    last_head: Option<(u64, lease::Head)>,
     /// When the head row or the state was last requested.
     last_poll: Option<time::Duration>,
     /// The configuration in force; `None` until one is known.
@@ -209,7 +209,7 @@
             settings,
             role: Role::Watching,
             observer: lease::Observer::default(),
-            seen: None,
+            last_head: None,
             last_poll: None,
             current: None,
             members: std_sync::Arc::default(),
@@ -280,8 +280,8 @@
 
     /// Returns the newest head row that was read.
     #[must_use]
-    pub fn seen(&self) -> Option<&lease::Head> {
-        self.seen.as_ref().map(|(_, head)| head)
+    pub fn last_head(&self) -> Option<&lease::Head> {
+        self.last_head.as_ref().map(|(_, head)| head)
     }
 
     /// Returns whether this host neither holds nor is acquiring the hall's lease.
@@ -304,7 +304,7 @@
         }
     }
 
-    /// Runs what is due in the current role.
+    /// Performs the work that is due in the current role.
     fn tick(&mut self, now: time::Duration) -> Vec<Effect> {
         let token = self.token();
         match &mut self.role {
@@ -337,7 +337,7 @@
         self.apply_step(now, step)
     }
 
-    /// Records an observation of the head row, and takes the lease if this host may.
+    /// Records an observation of the head row, and acquires the lease if this host may.
     fn acquire_if_free(
         &mut self,
         now: time::Duration,
@@ -346,20 +346,20 @@
     ) -> Vec<Effect> {
         let gap = self.settings.timing.lease / 2;
         self.observer.observe(version, gap, now);
-        if self.seen.as_ref().is_none_or(|(seen, _)| *seen <= version) {
-            self.seen = row;
+        if self.last_head.as_ref().is_none_or(|(seen, _)| *seen <= version) {
+            self.last_head = row;
         }
         let rank = self.rank();
-        let head = self.seen.as_ref().map(|(_, head)| head);
-        if self.leaving || !self.observer.may_take(head, rank, &self.settings.timing, now) {
+        let head = self.last_head.as_ref().map(|(_, head)| head);
+        if self.leaving || !self.observer.may_acquire(head, rank, &self.settings.timing, now) {
             return Vec::new();
         }
         self.start_acquire(version)
     }
 
-    /// Starts the transaction that takes the lease.
+    /// Starts the transaction that acquires the lease.
     fn start_acquire(&mut self, version: u64) -> Vec<Effect> {
-        let previous = self.seen.as_ref().map(|(_, head)| head.clone()).unwrap_or_default();
+        let previous = self.last_head.as_ref().map(|(_, head)| head.clone()).unwrap_or_default();
         let head = lease::Head {
             holder: Some(self.own_host.clone()),
             epoch: previous.epoch + 1,
@@ -410,7 +410,7 @@
     fn handle_committed(&mut self, now: time::Duration) -> Vec<Effect> {
         if let Role::Holding(holding) = &mut self.role {
             let replaced = holding.commit_succeeded(now);
-            self.seen = Some((0, holding.head().clone()));
+            self.last_head = Some((0, holding.head().clone()));
             if holding.head().holder.is_none() {
                 return self.step_down(now);
             }
@@ -471,7 +471,7 @@
     fn step_down(&mut self, now: time::Duration) -> Vec<Effect> {
         self.role = Role::Watching;
         self.observer = lease::Observer::default();
-        self.seen = None;
+        self.last_head = None;
         self.last_poll = Some(now);
         Vec::new()
     }
--- a/crates/wharflane/src/hall/plan.rs
+++ b/crates/wharflane/src/hall/plan.rs
@@ -22,11 +22,12 @@
 /// The number of failures after which a batch task is not placed again until it is removed from the
 /// configuration and added anew.
 const MAX_BATCH_FAILURES: u32 = 8;
-/// How many workers with room are compared for a batch task, which bounds a pass in a large hall.
+/// How many workers with room are compared for a batch task, which bounds the cost of a pass in a
+/// large hall.
 const MAX_COMPARED: usize = 48;
 
 impl holding::Holding {
-    /// Makes all decisions that are due.
+    /// Makes the scheduling decisions that are due.
     pub(super) fn plan(&mut self, now: time::Duration) {
         self.free_expired(now);
         self.evict_from_leaving(now);
@@ -226,13 +227,13 @@
     /// Returns the resources to reserve for a task: its declared size, with more CPU if tasks of
     /// its owner were measured to use more, but at most that of the largest worker.
     fn reserved_size(&self, spec: &spec::Spec) -> size::Size {
-        let Some(seen) = self.cpu_use.get(&spec.owner) else {
+        let Some(measured) = self.cpu_use.get(&spec.owner) else {
             return spec.size;
         };
         let capacities = self.views.values().filter_map(|view| view.incarnation.capacity);
         let largest = capacities.map(|capacity| capacity.cpu_milli).max().unwrap_or(0);
-        let seen = (*seen as u64).min(largest);
-        size::Size { cpu_milli: spec.size.cpu_milli.max(seen), ..spec.size }
+        let measured = (*measured as u64).min(largest);
+        size::Size { cpu_milli: spec.size.cpu_milli.max(measured), ..spec.size }
     }
 
     /// Returns whether a preemption for this task is still in progress.
--- a/crates/wharflane/src/hall/slot.rs
+++ b/crates/wharflane/src/hall/slot.rs
@@ -17,7 +17,8 @@
 /// The sort key of waiting tasks: higher priority first.
 pub(super) type WaitingKey = (cmp::Reverse<u32>, id::TaskId);
 
-/// The properties that decide whether a task fits; tasks of the same shape fit or don't fit alike.
+/// The properties that determine whether a task fits; all tasks of one shape fit on the same
+/// workers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub(super) struct Shape {
     /// The resources to reserve.
--- a/crates/wharflane/src/hall/sync.rs
+++ b/crates/wharflane/src/hall/sync.rs
@@ -171,7 +171,7 @@
 
     /// Handles a worker's report.
     fn apply_report(&mut self, now: time::Duration, worker: &id::WorkerId, report: work::Report) {
-        let lapse = self.settings.worker_lease + self.settings.margin;
+        let lease = self.settings.worker_lease + self.settings.margin;
         let Some(view) = self.views.get_mut(worker) else {
             return;
         };
@@ -179,7 +179,10 @@
         let first_contact = view.boot.is_none();
         let previous = std::mem::take(&mut view.incarnation.tasks);
         if view.incarnation.boot != Some(report.boot) {
-            tracing::info!(%worker, boot = report.boot, before = view.incarnation.boot, "worker reported a new boot id");
+            tracing::info!(
+                %worker, boot = report.boot, before = view.incarnation.boot,
+                "worker reported a new boot id"
+            );
             view.incarnation =
                 view::Incarnation { boot: Some(report.boot), ..view::Incarnation::default() };
         }
@@ -188,7 +191,7 @@
         view.incarnation.clock_ms = report.clock_ms;
         view.incarnation.capacity = Some(report.capacity);
         view.incarnation.reported_at = Some(now);
-        view.lapse_at = now + lapse;
+        view.leases_expire_at = now + lease;
         view.update_pending = view.update_pending || first_contact;
         let addrs = |tasks: &collections::BTreeMap<id::TaskId, work::TaskReport>| {
             let services = tasks.values().filter_map(|task| match task.state {
@@ -294,7 +297,7 @@
     pub(super) fn free_expired(&mut self, now: time::Duration) {
         let mut records = Vec::new();
         for (worker, view) in &self.views {
-            if now < view.lapse_at {
+            if now < view.leases_expire_at {
                 continue;
             }
             for (task, entry) in self.task_table.on(worker) {
--- a/crates/wharflane/src/hall/view.rs
+++ b/crates/wharflane/src/hall/view.rs
@@ -62,7 +62,7 @@
     /// When the last message was sent.
     pub sent_at: Option<time::Duration>,
     /// When all task leases of the worker have expired, unless it reports again.
-    pub lapse_at: time::Duration,
+    pub leases_expire_at: time::Duration,
     /// What is known about the boot that reported last.
     pub incarnation: Incarnation,
     /// Whether a message is due without waiting for the sync interval.
@@ -70,8 +70,9 @@
 }
 
 impl WorkerView {
-    /// Creates the view of a worker that has not reported; its leases may last until `lapse_at`.
-    pub fn new(lapse_at: time::Duration) -> Self {
+    /// Creates the view of a worker that has not reported; its leases may last until
+    /// `leases_expire_at`.
+    pub fn new(leases_expire_at: time::Duration) -> Self {
         Self {
             addr: None,
             rack: "".into(),
@@ -80,7 +81,7 @@
             seq: 0,
             in_flight_since: None,
             sent_at: None,
-            lapse_at,
+            leases_expire_at,
             incarnation: Incarnation::default(),
             update_pending: false,
         }
--- a/crates/wharflane/src/id.rs
+++ b/crates/wharflane/src/id.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 /// Declares an identifier type over a string that is stored inline up to 23 bytes and shared beyond
-/// that. Every look-up compares identifiers, and one that is stored elsewhere costs an additional
-/// cache line per comparison.
+/// that. Every lookup compares identifiers, and one on the heap costs an additional cache line per
+/// comparison.
 macro_rules! string_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -47,7 +47,7 @@
     WorkerId
 }
 string_id! {
-    /// The id of a gateway host.
+    /// The id of a host, an instance of the gateway daemon.
     HostId
 }
 string_id! {
@@ -69,16 +69,16 @@
 
 /// One incarnation of a worker: the time between one start of its process and the next.
 ///
-/// A restarted worker keeps its id but none of its state: its clock, its numbering of completed
-/// tasks and the fencing tokens that it has seen start over. Whatever is known of a worker is
-/// therefore keyed by its incarnation.
+/// A restarted worker has the same id but none of its state: its clock, its numbering of ended runs
+/// and the fencing tokens that it has seen start over. All knowledge about a worker is therefore
+/// keyed by its incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "KeptLife", into = "KeptLife")]
 pub struct Incarnation {
     /// The worker id, which all incarnations of the worker share.
     pub worker: WorkerId,
-    /// When the incarnation started, in milliseconds since 1970; `None` where the store does not
-    /// say.
+    /// When the incarnation started, in milliseconds since 1970; `None` if the store does not
+    /// record it.
     pub born_ms: Option<u64>,
 }
 
@@ -111,7 +111,7 @@
     }
 }
 
-/// The serialized form: the id alone where the start time is unknown, as in rows of older versions.
+/// The serialized form: only the id if the start time is unknown, as in rows of older versions.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 enum KeptLife {
--- a/crates/wharflane/src/interference.rs
+++ b/crates/wharflane/src/interference.rs
@@ -9,10 +9,10 @@
 
 /// The learning rate when the target was missed by more than predicted.
 const RATE_UP: f64 = 0.3;
-/// The learning rate when it was missed by less; estimates decrease slowly because load that
-/// subsides comes back.
+/// The learning rate when it was missed by less; estimates decrease slowly, since load that
+/// subsides usually returns.
 const RATE_DOWN: f64 = 0.02;
-/// The harm assumed of one task at full speed for a job that was never seen next to the service.
+/// The harm assumed of one task at full speed of a job that was never observed next to the service.
 const INITIAL_HARM: f64 = 0.05;
 /// The headroom assumed for a service without interference, as a share of its target.
 const INITIAL_HEADROOM: f64 = 0.4;
--- a/crates/wharflane/src/job/acquire.rs
+++ b/crates/wharflane/src/job/acquire.rs
@@ -1,4 +1,4 @@
-//! Acquires the lease of a domain that is free or whose holder is gone. A lease counts as expired
+//! Acquires the lease of a domain if it is free or its holder is gone. A lease counts as expired
 //! once its row stands unchanged for the lease time by this host's own clock; a dead or silent
 //! holder is detected earlier by probing it.
 
@@ -13,11 +13,11 @@
 use crate::rows;
 
 /// The number of lease times for which a host that gave its domain up for slowness waits longer
-/// than others before taking a lease.
+/// than others before it acquires a lease.
 const YIELD_LEASES: u32 = 4;
 
 impl engine::Engine {
-    /// Takes the lease if it is free or has expired; probes the holder if it may be gone.
+    /// Acquires the lease if it is free or has expired; probes the holder if it may be gone.
     pub(super) fn handle_lease_read(
         &mut self,
         now: time::Duration,
@@ -44,21 +44,21 @@
             let addr = lease.addr.filter(|_| !free && unchanged_for >= self.settings.probe);
             return addr.map(|addr| event::Effect::Probe { version, addr }).into_iter().collect();
         }
-        self.take_lease(now, version, &lease, time::Duration::ZERO)
+        self.acquire_lease(now, version, &lease, time::Duration::ZERO)
     }
 
-    /// Takes the lease of a holder whose process is gone or whose host is silent.
+    /// Acquires the lease of a holder whose process is gone or whose host is silent.
     ///
-    /// The probe proves nothing: a path that refuses connections or loses packets may mislead, and
-    /// the holder then continues until its next commit or until its lease expires. So the task
-    /// leases that it may grant are assumed to last longer by the time of its own lease.
+    /// The probe is no proof: the network may refuse connections or lose packets while the holder
+    /// continues until its next commit or the expiry of its lease. So the task leases that it may
+    /// have granted are assumed to last longer by the time of its own lease.
     pub(super) fn handle_probe(
         &mut self,
         now: time::Duration,
         version: u64,
-        sign: event::ProbeResult,
+        result: event::ProbeResult,
     ) -> Vec<event::Effect> {
-        let wait = match sign {
+        let wait = match result {
             event::ProbeResult::Listens => return Vec::new(),
             event::ProbeResult::Refused => self.settings.probe,
             event::ProbeResult::Silent => self.settings.silence,
@@ -75,12 +75,16 @@
         }
         let unchanged_ms = worker::millis(unchanged_for);
         let domain = self.settings.domain;
-        tracing::info!(domain, version, ?sign, unchanged_ms, "the lease holder is presumed dead");
-        self.take_lease(now, version, &seen.lease, self.settings.lease)
+        tracing::info!(
+            domain, version, sign = ?result, unchanged_ms,
+            "the lease holder is presumed dead"
+        );
+        self.acquire_lease(now, version, &seen.lease, self.settings.lease)
     }
 
-    /// Takes a lease; `extra` is how much longer its holder may have acted than its row says.
-    fn take_lease(
+    /// Acquires a lease; `extra` is how much longer than its row says the previous holder may have
+    /// granted task leases.
+    fn acquire_lease(
         &mut self,
         now: time::Duration,
         version: u64,
@@ -118,7 +122,7 @@
         vec![event::Effect::Txn(self.numbers, txn)]
     }
 
-    /// Starts loading the state once the lease is taken.
+    /// Starts loading the state once the lease is acquired.
     pub(super) fn handle_acquire_outcome(
         &mut self,
         now: time::Duration,
@@ -128,24 +132,24 @@
             return Vec::new();
         };
         let Some(version) = commit::committed_version(outcome, lease) else {
-            // Watching on is safe: a late write makes this process the holder, which then reads the
-            // lease as its own and takes it again.
+            // Going back to watching is safe: if the write is applied late, this process reads the
+            // lease as its own and acquires it again.
             self.step_down(now, "the lease was not taken");
             return Vec::new();
         };
-        let (lease, taken, inherited) = (lease.clone(), *sent, *inherited);
+        let (lease, acquired, inherited) = (lease.clone(), *sent, *inherited);
         self.role = engine::Role::Loading {
             lease,
             version,
-            taken,
+            acquired,
             inherited,
-            renewed: taken,
+            renewed: acquired,
             renewal: None,
         };
         vec![event::Effect::Load]
     }
 
-    /// Returns how much longer than other hosts this host waits before it takes a lease.
+    /// Returns how much longer than other hosts this host waits before it acquires a lease.
     fn takeover_delay(&self, now: time::Duration) -> time::Duration {
         let yield_time = self.settings.lease * YIELD_LEASES;
         let slow = self.yielded.is_some_and(|at| now.saturating_sub(at) < yield_time);
--- a/crates/wharflane/src/job/advice.rs
+++ b/crates/wharflane/src/job/advice.rs
@@ -1,7 +1,8 @@
 //! Requests tickets from the operator's advice service, for queues that require them.
 //!
 //! The service decides which workers may run a step. It is slow and handles one request at a time,
-//! so a request names only workers that placement would choose, and about as many as are needed.
+//! so a request names only workers that placement would choose, and only about as many as the step
+//! needs.
 
 use std::time;
 
@@ -29,7 +30,7 @@
 const EXPIRY_MARGIN: time::Duration = time::Duration::from_millis(400);
 /// Time allowed for an answer beyond the processing time of the service.
 const TIMEOUT_SLACK: time::Duration = time::Duration::from_millis(1_000);
-/// Lower bound of the accepted share when the number of workers to request is estimated.
+/// Lower bound of the accepted share in the estimate of how many workers to name.
 const MIN_ACCEPTED_SHARE: f64 = 0.05;
 /// Weight of the newest answer in the moving average of the accepted share.
 const SHARE_SMOOTHING: f64 = 0.2;
@@ -76,7 +77,7 @@
         }
         let (job, round, step) = group;
         let request = tickets::AdviceRequest { job, round, step, workers, timeout };
-        self.out.push(event::Effect::Ask(request));
+        self.out.push(event::Effect::RequestAdvice(request));
     }
 
     /// Returns workers to name in a request: those already granted first, then those in the
@@ -97,7 +98,7 @@
         let step_tickets = self.tickets.steps.get(&group::group(task)).unwrap_or(&none);
         let is_candidate = |view: &&worker::View| {
             let available =
-                obstacle::plain(view, service, task, step, view.takes(task, now)).is_none();
+                obstacle::plain(view, service, task, step, view.accepts(task, now)).is_none();
             available
                 && !step_tickets.denied.contains(&view.member.incarnation)
                 && self.tickets.get(task, &view.member.incarnation, now).is_none()
@@ -134,22 +135,22 @@
             return;
         };
         let until = now + advice.valid - EXPIRY_MARGIN.min(advice.valid / 4);
-        for (worker, text) in &advice.good {
+        for (worker, text) in &advice.accepted {
             step_tickets
                 .accepted
                 .insert(worker.clone(), tickets::Ticket { text: text.clone(), until });
         }
         for worker in &request.workers {
-            if !advice.good.iter().any(|(good, _)| good == worker) {
+            if !advice.accepted.iter().any(|(accepted, _)| accepted == worker) {
                 step_tickets.denied.insert(worker.clone());
             }
         }
-        let share = advice.good.len() as f64 / request.workers.len().max(1) as f64;
+        let share = advice.accepted.len() as f64 / request.workers.len().max(1) as f64;
         self.tickets.accepted_share += (share - self.tickets.accepted_share) * SHARE_SMOOTHING;
         self.changed = true;
         tracing::info!(
             job = %request.job, round = request.round, step = request.step,
-            named = request.workers.len(), good = advice.good.len(),
+            named = request.workers.len(), good = advice.accepted.len(),
             valid_ms = worker::millis(advice.valid),
             "received tickets for a step"
         );
--- a/crates/wharflane/src/job/assign.rs
+++ b/crates/wharflane/src/job/assign.rs
@@ -56,7 +56,7 @@
         run,
         start_state,
         lease_until_ms: 0,
-        doubt: work::Doubt::default(),
+        start_orders: work::StartOrders::default(),
         began: None,
         stopped: None,
         progress: (0, holding.now),
--- a/crates/wharflane/src/job/choose.rs
+++ b/crates/wharflane/src/job/choose.rs
@@ -16,13 +16,13 @@
 
 /// CPU that a long-running task is assumed to use, in percent of its reservation.
 const ASSUMED_SERVING_USE_PERCENT: u64 = 50;
-/// Minimum CPU that a best-effort task must find, as a fraction of what it requests.
+/// Minimum CPU that must be left for a best-effort task, as a fraction of what it requests.
 const MIN_BEST_EFFORT_FRACTION: f64 = 0.8;
-/// Fraction of a worker's CPU that is enough for most batch tasks.
+/// Fraction of a worker's CPU below which a remainder is too small for most batch tasks.
 const MIN_USEFUL_FRACTION: f64 = 0.15;
 /// Cost of leaving an unusably small fragment of CPU, relative to one more image on the worker.
 const FRAGMENT_WEIGHT: f64 = 1.5;
-/// Strain that one more best-effort task may always cause; it hardly shows in a tail latency.
+/// Strain that one more best-effort task may always cause, since a tail latency hardly shows it.
 const NEGLIGIBLE_STRAIN: f64 = 0.015;
 /// Factor by which the interference of a task may exceed its average for some seconds, since tasks
 /// work in phases.
@@ -47,9 +47,9 @@
     let isolated = holding.avoids_suspects(task);
     let evaluate = |view: &worker::View| {
         let cost = if outside(view) { None } else { search.evaluate(holding, view) };
-        let stake = || isolation::IsolationCost::of(holding, task, view, now);
+        let isolation_cost = || isolation::IsolationCost::of(holding, task, view, now);
         cost.map(|cost| {
-            (if isolated { stake() } else { isolation::IsolationCost::default() }, cost)
+            (if isolated { isolation_cost() } else { isolation::IsolationCost::default() }, cost)
         })
     };
     let is_cheaper = |a: &(isolation::IsolationCost, Cost),
@@ -112,7 +112,7 @@
     /// Returns the cost of a worker, or `None` if it can't take the task.
     pub fn evaluate(&self, holding: &holding::Holding, view: &worker::View) -> Option<Cost> {
         let (step, now) = (self.step, self.now);
-        if obstacle::plain(view, self.service, self.task, step, view.takes(self.task, now))
+        if obstacle::plain(view, self.service, self.task, step, view.accepts(self.task, now))
             .is_some()
         {
             return None;
@@ -233,7 +233,7 @@
 }
 
 /// Returns the strain that a best-effort task would add, minus a small bonus for idle CPU, or
-/// `None` if a serving task can't bear it.
+/// `None` if a serving task can't tolerate it.
 fn best_effort_cost(
     holding: &holding::Holding,
     view: &worker::View,
--- a/crates/wharflane/src/job/closed.rs
+++ b/crates/wharflane/src/job/closed.rs
@@ -52,7 +52,7 @@
 }
 
 impl holding::Holding {
-    /// Applies a reading to the held domain and releases staged starts on workers of closed halls.
+    /// Applies a reading of the closed halls and releases staged starts on workers of closed halls.
     pub(super) fn set_closed_halls(&mut self, reading: &ClosedHallsReading) {
         self.closed_read_at = reading.at;
         if self.closed == reading.closed.halls {
@@ -69,15 +69,15 @@
 
     /// Returns whether tasks may be placed.
     ///
-    /// That requires a reading of the closed halls since the lease was taken, or that `closed_wait`
-    /// has passed. The operator's rows may be unavailable while the holder's own are not, and
-    /// standing still for that long costs callers more than a start in a hall that was closed
-    /// meanwhile.
+    /// That requires a reading of the closed halls since the lease was acquired, or that
+    /// `closed_wait` has passed. The operator's rows may be unavailable while the holder's own are
+    /// not, and starting nothing for longer costs callers more than a start in a hall that was
+    /// closed meanwhile.
     pub(super) fn closed_halls_known(&mut self, now: time::Duration) -> bool {
-        if self.closed_read_at.is_some_and(|at| at >= self.taken) {
+        if self.closed_read_at.is_some_and(|at| at >= self.acquired) {
             return true;
         }
-        let waited = now.saturating_sub(self.taken);
+        let waited = now.saturating_sub(self.acquired);
         if waited < self.settings.closed_wait {
             return false;
         }
@@ -93,7 +93,7 @@
 
     /// Releases the tasks among `starts` that must not be ordered any more, because their hall was
     /// closed or their worker leaves, and returns the others. A gang with one such member is
-    /// released as a whole, since the others would wait for it in vain.
+    /// released as a whole, since the others can't work without it.
     pub(super) fn release_barred(&mut self, starts: &[spec::TaskId]) -> Vec<spec::TaskId> {
         let barred: Vec<spec::TaskId> =
             starts.iter().copied().filter(|task| self.is_staged_on_barred(*task)).collect();
--- a/crates/wharflane/src/job/commit.rs
+++ b/crates/wharflane/src/job/commit.rs
@@ -16,7 +16,7 @@
 use super::worker;
 use crate::rows;
 
-/// The most progress rows in one transaction. The store accepts 100 entries: the lease takes two,
+/// The most progress rows in one transaction. The store accepts 100 entries: the lease uses two,
 /// the counts and the unlisted workers one each, and learned data ten.
 const MAX_ROWS: usize = 86;
 /// The most bytes of progress in one transaction. The store accepts 1 MB, which is 750 KB before
@@ -25,7 +25,7 @@
 /// The time between two counts of waiting jobs; readers are promised counts at most 2 s old.
 const COUNT_INTERVAL: time::Duration = time::Duration::from_millis(700);
 /// How long a new holder delays its first count until it knows which starts of its predecessor were
-/// taken; the predecessor's counts remain valid for 2 s.
+/// accepted; the predecessor's counts remain valid for 2 s.
 const FIRST_COUNT_DELAY: time::Duration = time::Duration::from_millis(1_500);
 /// The time between two writes of learned data, about 5 KB each with six images a side.
 const LEARNED_INTERVAL: time::Duration = time::Duration::from_secs(2);
@@ -103,10 +103,10 @@
     /// Returns the next transaction if one is due and none is in flight.
     pub(super) fn commit(&mut self, now: time::Duration, number: u64) -> Option<event::Effect> {
         if let Some(pending) = &mut self.pending {
-            if pending.again.is_none_or(|at| now < at) {
+            if pending.resend_at.is_none_or(|at| now < at) {
                 return None;
             }
-            pending.again = None;
+            pending.resend_at = None;
             pending.number = number;
             return Some(event::Effect::Txn(number, pending.txn.clone()));
         }
@@ -133,14 +133,14 @@
         lease: &job_rows::Lease,
         sent: time::Duration,
     ) -> Result<(), serde_json::Error> {
-        let again = number.is_none().then_some(sent);
+        let resend_at = number.is_none().then_some(sent);
         let txn = lease_txn(self.settings.domain, self.version, lease)?;
         let pending = pending::Pending {
             number: number.unwrap_or_default(),
             txn,
             lease: lease.clone(),
             sent,
-            again,
+            resend_at,
             jobs: Vec::new(),
             extras: false,
             ends: Vec::new(),
@@ -187,7 +187,7 @@
             txn: txn.clone(),
             lease,
             sent: now,
-            again: None,
+            resend_at: None,
             jobs: batch.jobs,
             extras,
             ends,
@@ -197,7 +197,7 @@
         self.pending = Some(pending);
         self.committed = now;
         let values = txn.writes.iter().filter_map(|write| write.value.as_ref());
-        self.link.committed(values.map(String::len).sum());
+        self.link.record_commit(values.map(String::len).sum());
         Ok(txn)
     }
 
@@ -261,7 +261,7 @@
             return Ok(());
         }
         let starts_known = self.jobs_read_up_to_ms.is_some() && !self.has_unconfirmed_starts();
-        if now < self.taken + FIRST_COUNT_DELAY && !starts_known {
+        if now < self.acquired + FIRST_COUNT_DELAY && !starts_known {
             return Ok(());
         }
         self.counted_at = now;
@@ -280,7 +280,7 @@
     fn has_unconfirmed_starts(&self) -> bool {
         self.placed.iter().any(|(task, placed)| {
             matches!(placed.start_state, work::StartState::Inherited | work::StartState::Orphaned)
-                && self.jobs.get(&task.job).is_some_and(work::Entry::waits)
+                && self.jobs.get(&task.job).is_some_and(work::Entry::is_waiting)
         })
     }
 
@@ -290,10 +290,10 @@
         txn: &mut rows::Txn,
         now: time::Duration,
     ) -> Result<(), serde_json::Error> {
-        if now.saturating_sub(self.kept_at) < LEARNED_INTERVAL {
+        if now.saturating_sub(self.learned_written_at) < LEARNED_INTERVAL {
             return Ok(());
         }
-        self.kept_at = now;
+        self.learned_written_at = now;
         for (name, value) in self.learned.rows()? {
             let key = job_rows::learned_key(self.settings.domain, name);
             txn.writes.push(rows::Write { key, value: Some(value) });
@@ -305,7 +305,7 @@
     fn log_state(&self) {
         let sum = |pick: fn(&worker::View) -> u64| self.views.values().map(pick).sum::<u64>();
         tracing::info!(
-            jobs = self.jobs.values().filter(|entry| entry.active()).count(),
+            jobs = self.jobs.values().filter(|entry| entry.is_active()).count(),
             ready = self.ready.len(),
             ready_first = self.ready.values().filter(|ready| ready.priority == 0).count(),
             ready_lasting = self.ready.values().filter(|ready| ready.lasting).count(),
@@ -335,7 +335,7 @@
     /// Counts the waiting jobs by queue.
     fn count_waiting(&self) -> job_rows::Waiting {
         let mut queues = collections::BTreeMap::new();
-        for entry in self.jobs.values().filter(|entry| entry.waits()) {
+        for entry in self.jobs.values().filter(|entry| entry.is_waiting()) {
             *queues.entry(entry.job.queue.clone()).or_insert(0) += 1;
         }
         job_rows::Waiting { queues, as_of_ms: self.jobs_read_up_to_ms }
@@ -355,17 +355,17 @@
             (Some(version), _) => version,
             (None, rows::Outcome::Answered(_)) => return CommitOutcome::LeaseLost,
             (None, rows::Outcome::Refused) => {
-                self.commit_refused(pending, now);
+                self.handle_refused_commit(pending, now);
                 return CommitOutcome::Pending;
             }
             (None, rows::Outcome::Unknown) => {
                 tracing::warn!(number, seq = pending.lease.seq, "commit in doubt, sent again");
                 self.pending =
-                    Some(pending::Pending { again: Some(now + TXN_RETRY_DELAY), ..pending });
+                    Some(pending::Pending { resend_at: Some(now + TXN_RETRY_DELAY), ..pending });
                 return CommitOutcome::Pending;
             }
         };
-        self.commit_limits.taken();
+        self.commit_limits.relax();
         self.version = version;
         self.renewed = pending.sent;
         let released = pending.lease.holder.is_none();
--- a/crates/wharflane/src/job/crash.rs
+++ b/crates/wharflane/src/job/crash.rs
@@ -1,9 +1,9 @@
 //! Attributes losses of workers to tasks and fails jobs whose tasks crash workers.
 //!
-//! The cause of a loss is not reported, whether a task crashed the worker or it failed for another
-//! reason. So a loss counts under every task that was there, and the next starts of each are
-//! isolated more and more (see `isolation`). A culprit crashes its next workers alone, while its
-//! former neighbours run on elsewhere.
+//! Nothing reports why a worker was lost: a task may have crashed it, or it failed for another
+//! reason. So a loss counts against every task that was placed there, and the next starts of these
+//! tasks are isolated, more strictly with each loss (see `isolation`). A culprit then crashes its
+//! next workers while it runs by itself, and its former neighbours run on other workers.
 
 use std::time;
 
@@ -25,10 +25,10 @@
 /// since a loss may have had another cause.
 const MAX_SUSPECTED_LOSSES: u32 = 3;
 /// The number of these losses with the task as the only suspect: neighbours of the culprit are lost
-/// with its first worker, but not with those on which it runs alone.
+/// with its first worker, but not with those on which it is isolated.
 const MIN_SOLE_SUSPECT_LOSSES: u32 = 2;
-/// The number of workers lost under a task, whatever else they ran, after which its job fails;
-/// users allow no more starts than this.
+/// The number of workers lost under a task, regardless of what else they ran, after which its job
+/// fails; users allow no more starts than this.
 const MAX_LOSSES: u32 = 5;
 /// How long a loss without a suspect counts as evidence that workers fail for other causes.
 const OTHER_CAUSE_WINDOW: time::Duration = time::Duration::from_secs(10);
@@ -44,13 +44,13 @@
         tasks: &[spec::TaskId],
     ) {
         let planned = self.views.get(worker).is_some_and(|view| view.member.leaving);
-        let cause = self.count_lapsed_loss(worker).max(self.count_worker_loss(tasks));
+        let cause = self.count_loss_after_expiry(worker).max(self.count_worker_loss(tasks));
         if !planned {
             self.loss_record.note_end(&worker.worker, cause, self.now);
         }
     }
 
-    /// Counts the loss of a worker under each task that was there and returns its possible cause.
+    /// Counts the loss of a worker against each task that was there and returns its possible cause.
     /// The tasks must still be placed.
     pub(super) fn count_worker_loss(&mut self, tasks: &[spec::TaskId]) -> loss_record::Cause {
         let worker = tasks.first().and_then(|task| self.placed.get(task));
@@ -62,32 +62,39 @@
         self.count_losses(&worker, &present, LossKnown::WhilePlaced)
     }
 
-    /// Records the tasks of a listed worker whose leases have expired. The worker may still run out
-    /// of reach, or its list entry may be stale: if its incarnation turns out to be over, the loss
-    /// counts then.
-    pub(super) fn record_lapsed(&mut self, worker: &id::Incarnation, tasks: &[spec::TaskId]) {
+    /// Records the tasks of a listed worker whose leases have expired. The worker may only be
+    /// unreachable, or its list entry may be stale; the loss counts once its incarnation is known
+    /// to be over.
+    pub(super) fn record_expired_tasks(
+        &mut self,
+        worker: &id::Incarnation,
+        tasks: &[spec::TaskId],
+    ) {
         let placed = tasks.iter().filter_map(|task| Some((*task, self.placed.get(task)?)));
         let ordered = placed.filter(|(_, placed)| may_have_received_order(placed));
         let present = ordered.map(|(task, placed)| self.presence_of(task, placed));
         let present: Vec<Presence> = present.collect();
         if let Some(view) = self.views.get_mut(worker).filter(|view| view.listed) {
-            view.lapsed.extend(present);
+            view.expired_tasks.extend(present);
         }
     }
 
     /// Counts the loss of a worker whose leases expired before its end was known, and returns its
     /// possible cause.
-    pub(super) fn count_lapsed_loss(&mut self, worker: &id::Incarnation) -> loss_record::Cause {
+    pub(super) fn count_loss_after_expiry(
+        &mut self,
+        worker: &id::Incarnation,
+    ) -> loss_record::Cause {
         let view = self.views.get_mut(worker).filter(|view| !view.member.leaving);
-        let present = view.map(|view| std::mem::take(&mut view.lapsed)).unwrap_or_default();
+        let present = view.map(|view| std::mem::take(&mut view.expired_tasks)).unwrap_or_default();
         let cause = self.count_losses(worker, &present, LossKnown::AfterExpiry);
         for presence in present {
-            self.give_up_if_lost(presence.task, self.now);
+            self.fail_job_after_losses(presence.task, self.now);
         }
         cause
     }
 
-    /// Counts one loss under each task that was there and returns its possible cause.
+    /// Counts one loss against each task that was there and returns its possible cause.
     fn count_losses(
         &mut self,
         worker: &id::Incarnation,
@@ -128,7 +135,7 @@
         Presence { task, run: placed.run, at_work }
     }
 
-    /// Counts a loss under one task that should still run; `suspects` is the number of suspects
+    /// Counts a loss against one task that should still run; `suspects` is the number of suspects
     /// there.
     fn count_loss(
         &mut self,
@@ -153,10 +160,10 @@
         // before. A worker that was silent beyond its leases may have failed at any time since, and
         // an unsteady one for a reason of its own.
         let at_its_start = at_work.is_some() && known == LossKnown::WhilePlaced;
-        losses.alone += u32::from(suspected && suspects == 1 && at_its_start && steady);
+        losses.sole_suspect += u32::from(suspected && suspects == 1 && at_its_start && steady);
         tracing::warn!(
             %task, run, %worker, suspected, suspects, at_work_ms = at_work.map(worker::millis),
-            times_suspected = losses.suspected, times_alone = losses.alone,
+            times_suspected = losses.suspected, times_alone = losses.sole_suspect,
             times_unexplained = losses.unexplained, "worker lost under a task"
         );
         self.loss_record.add(task, &worker.worker);
@@ -164,7 +171,7 @@
     }
 
     /// Returns whether the task may have caused the loss of its worker: the worker was not leaving,
-    /// is not listed as running out of reach, and may have received an order for the task.
+    /// is no longer listed, and may have received an order for the task.
     fn may_have_caused_loss(&self, placed: &work::Placed) -> bool {
         let view = self.views.get(&placed.worker);
         let other_cause = view.is_some_and(|view| view.member.leaving || view.listed);
@@ -182,7 +189,7 @@
     }
 
     /// Fails the job of a task under which too many workers were lost.
-    pub(super) fn give_up_if_lost(&mut self, task: spec::TaskId, now: time::Duration) {
+    pub(super) fn fail_job_after_losses(&mut self, task: spec::TaskId, now: time::Duration) {
         let losses = self.losses(task);
         let others = self.starts(task).others;
         if !self.should_run(task) || !losses.must_fail(others, self.may_losses_be_chance()) {
@@ -191,20 +198,22 @@
         self.given_up += 1;
         tracing::warn!(
             job = %task.job, %task, times_suspected = losses.suspected,
-            times_alone = losses.alone, times_unexplained = losses.unexplained, others,
+            times_alone = losses.sole_suspect, times_unexplained = losses.unexplained, others,
             "job failed: workers crashed under its task"
         );
         self.end_job(task.job, progress::Phase::Failed, now);
     }
 
-    /// Counts the end of a run without a loss, if three workers were lost under its task before:
-    /// the task has few starts left, however they end.
+    /// Counts the end of a run without a loss if three workers were lost under its task before,
+    /// since the task then has few starts left, however they end.
     pub(super) fn note_other_end(&mut self, task: spec::TaskId, placed: &work::Placed) {
         let view = self.views.get(&placed.worker);
         let planned = placed.stopped.is_some() || view.is_some_and(|view| view.member.leaving);
         // Whether the worker is lost is still unknown where leases have expired.
         let undecided = view.is_some_and(|view| {
-            view.lapsed.iter().any(|lapsed| (lapsed.task, lapsed.run) == (task, placed.run))
+            view.expired_tasks
+                .iter()
+                .any(|presence| (presence.task, presence.run) == (task, placed.run))
         });
         let began = matches!(placed.start_state, work::StartState::Confirmed(_));
         if planned || undecided || !began || self.losses(task).all() < MAX_SUSPECTED_LOSSES {
@@ -240,7 +249,10 @@
             self.loss_record.forget(task);
             (progress::Losses::default(), 0)
         } else {
-            (progress::Losses { suspected: 0, alone: 0, unexplained: before.all() }, starts.others)
+            (
+                progress::Losses { suspected: 0, sole_suspect: 0, unexplained: before.all() },
+                starts.others,
+            )
         };
         let changed = after != before || starts.at_work != run;
         let entry = self.jobs.get_mut(&task.job).filter(|_| changed);
@@ -260,7 +272,7 @@
         self.loss_record.contains(task)
     }
 
-    /// Returns the losses of workers that count under a task.
+    /// Returns the losses of workers that count against a task.
     pub(super) fn losses(&self, task: spec::TaskId) -> progress::Losses {
         self.state(task).map(|state| state.losses).unwrap_or_default()
     }
@@ -284,7 +296,9 @@
         work::StartState::Ordered
         | work::StartState::Confirmed(_)
         | work::StartState::Inherited => true,
-        work::StartState::Unanswered(_) | work::StartState::Expiring => placed.doubt.fence > 0,
+        work::StartState::Unanswered(_) | work::StartState::Expiring => {
+            placed.start_orders.fence > 0
+        }
     }
 }
 
@@ -293,7 +307,7 @@
 enum LossKnown {
     /// While its tasks were still placed there.
     WhilePlaced,
-    /// After its leases had expired and its tasks were placed elsewhere.
+    /// After its leases had expired and its tasks were released from it.
     AfterExpiry,
 }
 
@@ -329,7 +343,8 @@
     /// Returns whether a task with these losses must fail. If workers are lost for other causes as
     /// well, it may use all the starts that users allow.
     fn must_fail(self, others: u32, by_chance: bool) -> bool {
-        let alone = self.suspected >= MAX_SUSPECTED_LOSSES && self.alone >= MIN_SOLE_SUSPECT_LOSSES;
-        alone && !by_chance || self.all() + others >= MAX_LOSSES
+        let proven =
+            self.suspected >= MAX_SUSPECTED_LOSSES && self.sole_suspect >= MIN_SOLE_SUSPECT_LOSSES;
+        proven && !by_chance || self.all() + others >= MAX_LOSSES
     }
 }
--- a/crates/wharflane/src/job/ends.rs
+++ b/crates/wharflane/src/job/ends.rs
@@ -1,5 +1,5 @@
-//! Handles reported ends of runs: records them in the progress of their jobs, frees the tasks, and
-//! opens the next steps or ends the job.
+//! Handles reported ends of runs: records them in the progress of their jobs, releases the tasks,
+//! and opens the next steps or ends the job.
 
 use std::time;
 
@@ -46,7 +46,7 @@
         }
         self.note_unrecorded(ended.task.job, worker, ended.number);
         if ours {
-            self.give_back(ended.task);
+            self.release(ended.task);
         }
         self.withdraw_later_runs(ended, now);
         self.advance_job(ended.task, now);
@@ -54,8 +54,8 @@
 
     /// Records in the job's progress how a run ended; returns whether that changed anything.
     ///
-    /// A run that counts as lost may in fact have ended while its worker was silent, and is
-    /// reported later. An acknowledged end is never reported again, so it is recorded even if a
+    /// A run that counts as lost may have ended while its worker was silent, and its end is then
+    /// reported late. An acknowledged end is never reported again, so it is recorded even if a
     /// later run has started.
     fn note_end(&mut self, worker: &id::Incarnation, ended: &order::Ended) -> bool {
         let task = ended.task;
@@ -123,7 +123,8 @@
             return;
         };
         let view = self.views.get(&placed.worker);
-        let paced = view.and_then(|view| view.filling.get(&task)).is_some_and(|f| f.paced);
+        let was_throttled =
+            view.and_then(|view| view.filling.get(&task)).is_some_and(|f| f.was_throttled);
         let Some(entry) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -131,19 +132,19 @@
         let (Some(began), Some(step)) = (placed.began, entry.job.step(task.step)) else {
             return;
         };
-        if paced || resumed {
+        if was_throttled || resumed {
             return;
         }
         let time = now.saturating_sub(began);
         self.learned.times.learn(&entry.job.queue, step.estimate_ms, time);
-        let taken = entry.taken.entry(task.step).or_default();
-        taken.runs += 1;
-        taken.total += time;
+        let run_times = entry.run_times.entry(task.step).or_default();
+        run_times.runs += 1;
+        run_times.total += time;
     }
 
     /// Completes or fails a job, or opens further steps, after one of its tasks has ended.
     fn advance_job(&mut self, task: spec::TaskId, now: time::Duration) {
-        let Some(entry) = self.jobs.get(&task.job).filter(|entry| entry.active()) else {
+        let Some(entry) = self.jobs.get(&task.job).filter(|entry| entry.is_active()) else {
             return;
         };
         let Some(state) = entry.progress.tasks.get(&task.into()) else {
--- a/crates/wharflane/src/job/engine.rs
+++ b/crates/wharflane/src/job/engine.rs
@@ -20,7 +20,7 @@
 pub(super) enum Role {
     /// Another host may hold the lease.
     Watching,
-    /// The transaction that takes the lease is in flight.
+    /// The transaction that acquires the lease is in flight.
     Acquiring {
         /// The number of that transaction.
         number: u64,
@@ -37,8 +37,8 @@
         lease: job_rows::Lease,
         /// The version of the lease row.
         version: u64,
-        /// When the transaction that took the lease was sent.
-        taken: time::Duration,
+        /// When the transaction that acquired the lease was sent.
+        acquired: time::Duration,
         /// The longest task lease that the previous holder may have requested.
         inherited: time::Duration,
         /// When the last committed renewal of the lease was sent.
@@ -77,8 +77,8 @@
 pub struct Engine {
     /// The id of this host.
     pub(super) own: id::HostId,
-    /// A number unique to this process, which tells its lease from that of an earlier process of
-    /// the host.
+    /// A number unique to this process, which distinguishes its lease from that of an earlier
+    /// process of the host.
     pub(super) nonce: u64,
     /// The domain and its timing.
     pub(super) settings: event::Settings,
@@ -132,9 +132,11 @@
             event::Event::Tick { wall_ms } => return self.tick(now, wall_ms),
             event::Event::LeaseRead(row) => return self.handle_lease_read(now, row),
             event::Event::LeaseUnread => {}
-            event::Event::Probed { version, sign } => return self.handle_probe(now, version, sign),
+            event::Event::Probed { version, result } => {
+                return self.handle_probe(now, version, result);
+            }
             event::Event::Loaded { jobs, progress, learned } => {
-                return self.loaded(now, &jobs, &progress, &learned);
+                return self.finish_loading(now, &jobs, &progress, &learned);
             }
             event::Event::LoadFailed => {
                 if matches!(self.role, Role::Loading { .. }) {
@@ -159,7 +161,7 @@
                 }
             }
             event::Event::Listed(list) => {
-                self.members.list(&list);
+                self.members.replace_all(&list);
                 if let Role::Holding(holding) = &mut self.role {
                     holding.set_members(&self.members, now);
                 }
@@ -175,7 +177,7 @@
             }
             event::Event::Dropped { job, done } => {
                 if let Role::Holding(holding) = &mut self.role {
-                    holding.dropped(job, done);
+                    holding.handle_row_deleted(job, done);
                 }
             }
             event::Event::Queues(queues) => {
@@ -186,7 +188,7 @@
             }
             event::Event::Jobs(rows) => {
                 if let Role::Holding(holding) = &mut self.role {
-                    holding.jobs_read(&rows, now);
+                    holding.apply_job_rows(&rows, now);
                 }
             }
             event::Event::JobsReadUpTo { up_to_ms } => {
@@ -205,9 +207,9 @@
                     holding.handle_failed_stop(&order, now);
                 }
             }
-            event::Event::Advised { question, answer } => {
+            event::Event::AdviceAnswered { request, answer } => {
                 if let Role::Holding(holding) = &mut self.role {
-                    holding.handle_advice(&question, answer.as_ref(), now);
+                    holding.handle_advice(&request, answer.as_ref(), now);
                 }
             }
             event::Event::HeartbeatAnswered { worker, epoch, answer } => {
@@ -230,7 +232,7 @@
 
     /// Returns whether this host neither holds the domain nor is acquiring it, so that it may stop.
     #[must_use]
-    pub fn left(&self) -> bool {
+    pub fn is_watching(&self) -> bool {
         matches!(self.role, Role::Watching)
     }
 
@@ -240,15 +242,15 @@
         self.settings.domain
     }
 
-    /// Runs what is due by time: the holder's timers, the renewal while loading, or the next read
-    /// of the lease.
+    /// Handles what is due by time: the holder's timers, the renewal while loading, or the next
+    /// read of the lease.
     fn tick(&mut self, now: time::Duration, wall_ms: u64) -> Vec<event::Effect> {
         if let Role::Holding(holding) = &mut self.role {
             holding.tick(now, wall_ms);
             return self.collect_effects(now);
         }
         if matches!(self.role, Role::Loading { .. }) {
-            return self.go_on_loading(now);
+            return self.continue_loading(now);
         }
         let due = self.polled.is_none_or(|at| now.saturating_sub(at) >= self.settings.poll);
         if !matches!(self.role, Role::Watching) || !due {
@@ -287,7 +289,7 @@
                 self.handle_acquire_outcome(now, outcome)
             }
             Role::Loading { .. } => {
-                self.renewed(now, number, outcome);
+                self.handle_renewal_outcome(now, number, outcome);
                 Vec::new()
             }
             Role::Holding(holding) => {
--- a/crates/wharflane/src/job/event.rs
+++ b/crates/wharflane/src/job/event.rs
@@ -18,7 +18,7 @@
 pub struct Settings {
     /// The number of the domain.
     pub domain: u32,
-    /// How long a lease row must be unchanged before another host may take the lease.
+    /// How long a lease row must be unchanged before another host may acquire the lease.
     pub lease: time::Duration,
     /// How long before its lease expires a holder stops acting, to allow for clock drift.
     pub margin: time::Duration,
@@ -30,8 +30,8 @@
     /// How long a lease row must be unchanged before it is taken from a holder whose host is
     /// silent.
     pub silence: time::Duration,
-    /// How much longer than other hosts this host waits before it takes a lease: hosts too weak to
-    /// hold a domain with ease leave it to stronger ones.
+    /// How much longer than other hosts this host waits before it acquires a lease, so that
+    /// stronger hosts get the domain first.
     pub takeover_delay: time::Duration,
     /// The time between two reads of a lease that another host holds.
     pub poll: time::Duration,
@@ -51,7 +51,7 @@
     pub idle_heartbeat_gap: time::Duration,
     /// How long the state of an ended job remains available.
     pub keep: time::Duration,
-    /// How long a new holder starts nothing if it can't learn which halls are closed.
+    /// How long a new holder starts nothing while it can't read which halls are closed.
     pub closed_wait: time::Duration,
     /// The bandwidth of this host's link in bytes per second; absent if unknown.
     pub link_bytes_per_s: Option<u64>,
@@ -85,7 +85,7 @@
         /// The version of the lease row that named the holder.
         version: u64,
         /// The result of the probe.
-        sign: ProbeResult,
+        result: ProbeResult,
     },
     /// All rows of the domain were read.
     Loaded {
@@ -146,9 +146,9 @@
         answer: order::HeartbeatAnswer,
     },
     /// The advice service answered a request about a step's workers, or the request failed.
-    Advised {
+    AdviceAnswered {
         /// The request that was sent.
-        question: tickets::AdviceRequest,
+        request: tickets::AdviceRequest,
         /// The advice; absent if the request failed.
         answer: Option<tickets::Advice>,
     },
@@ -174,7 +174,7 @@
     Load,
     /// Send a transaction with this number.
     Txn(u64, rows::Txn),
-    /// Delete the row of a job that ended longer ago than it is kept.
+    /// Delete the row of a job that ended longer ago than `Settings::keep`.
     Drop(spec::JobId, rows::Txn),
     /// Order a worker to start a task.
     Start(order::Start),
@@ -182,8 +182,8 @@
     Stop(order::Order),
     /// Send a heartbeat to a worker: renew its leases and read its running and ended runs.
     SendHeartbeat(order::Heartbeat),
-    /// Ask the advice service which workers may run a step.
-    Ask(tickets::AdviceRequest),
-    /// Change the CPU share of a running task.
-    Pace(order::Pace),
+    /// Request advice on which workers may run a step.
+    RequestAdvice(tickets::AdviceRequest),
+    /// Order a worker to change the CPU share of a running task.
+    SetShare(order::SetShare),
 }
--- a/crates/wharflane/src/job/fence.rs
+++ b/crates/wharflane/src/job/fence.rs
@@ -33,7 +33,7 @@
         };
         let outstanding = view.tasks.iter().any(|task| {
             self.is_start_abandoned(*task)
-                && self.placed.get(task).is_some_and(|p| p.doubt.fence >= fence)
+                && self.placed.get(task).is_some_and(|p| p.start_orders.fence >= fence)
         });
         if outstanding && self.is_own(fence + 1) {
             tracing::info!(%worker, fence = fence + 1, "fence raised to rule out a late start");
@@ -52,7 +52,7 @@
 
     /// Returns whether a task should run: its job is active and no run of it is done.
     pub(super) fn should_run(&self, task: spec::TaskId) -> bool {
-        self.jobs.get(&task.job).filter(|entry| entry.active()).is_some_and(|entry| {
+        self.jobs.get(&task.job).filter(|entry| entry.is_active()).is_some_and(|entry| {
             entry.progress.tasks.get(&task.into()).is_none_or(|state| !state.done)
         })
     }
@@ -66,7 +66,7 @@
         lists: &order::Lists,
     ) -> bool {
         self.placed.get(&task).is_some_and(|placed| {
-            fence > placed.doubt.fence || lists.clock_ms > placed.lease_until_ms
+            fence > placed.start_orders.fence || lists.clock_ms > placed.lease_until_ms
         })
     }
 }
--- a/crates/wharflane/src/job/gang.rs
+++ b/crates/wharflane/src/job/gang.rs
@@ -53,7 +53,7 @@
     true
 }
 
-/// Returns a worker for each task of a gang, all in one rack if the step asks for that and one has
+/// Returns a worker for each task of a gang, all in one rack if the step prefers that and one has
 /// the capacity.
 fn choose_workers(
     holding: &mut holding::Holding,
--- a/crates/wharflane/src/job/group.rs
+++ b/crates/wharflane/src/job/group.rs
@@ -12,7 +12,7 @@
     (task.job, task.round, task.step)
 }
 
-/// Returns the range of all task IDs in a task's group.
+/// Returns the range of all task ids in a task's group.
 pub(super) fn siblings(task: spec::TaskId) -> ops::RangeInclusive<spec::TaskId> {
     spec::TaskId { index: 0, ..task }..=spec::TaskId { index: u32::MAX, ..task }
 }
--- a/crates/wharflane/src/job/headroom.rs
+++ b/crates/wharflane/src/job/headroom.rs
@@ -1,10 +1,11 @@
-//! Headroom: how much more strain the serving tasks of a worker can bear. It is cached per worker.
+//! Headroom: how much more strain the serving tasks of a worker can tolerate. It is cached per
+//! worker.
 
 use std::time;
 
 use super::holding;
 use super::interference;
-use super::pace;
+use super::throttle;
 use super::worker;
 use crate::id;
 
@@ -42,7 +43,7 @@
                 part: view.part(filling.cpu_milli),
             })
             .collect();
-        let margin = pace::STRAIN_MARGIN + pace::RAISE_SLACK;
+        let margin = throttle::STRAIN_MARGIN + throttle::RAISE_SLACK;
         let left = view.serving.iter().map(|(task, serving)| {
             let own = self.own_load(task.job, now).unwrap_or(0.0);
             let limit = self.learned.interference.limit(serving.image, serving.target_ms) - margin;
--- a/crates/wharflane/src/job/heartbeats.rs
+++ b/crates/wharflane/src/job/heartbeats.rs
@@ -19,8 +19,8 @@
 /// How long a heartbeat is deferred while reported ends are uncommitted; task leases are renewed at
 /// this interval meanwhile.
 const MAX_DEFERRAL: time::Duration = time::Duration::from_millis(1_000);
-/// How long a worker may delay its answer where both service and best-effort tasks run;
-/// latencies are reported this often.
+/// How long a worker may delay its answer where both serving and best-effort tasks run; latencies
+/// are reported this often.
 const MIXED_HEARTBEAT_WAIT: time::Duration = time::Duration::from_millis(500);
 /// How long a task may show no progress until it counts as stalled.
 const STALLED_AFTER: time::Duration = time::Duration::from_millis(2_000);
@@ -70,7 +70,7 @@
             worker: worker.clone(),
             addr: view.member.addr,
             epoch,
-            seen: view.acknowledged_end(),
+            acknowledged_end: view.acknowledged_end(),
             lease_until_ms,
             wait,
         }));
@@ -114,7 +114,7 @@
                     );
                 }
                 view.missed_heartbeats = 0;
-                view.lapsed.clear();
+                view.expired_tasks.clear();
                 view.last_end_listed = lists.ended.last().map_or(0, |ended| ended.number);
                 view.last_answer = Some((lists.clock_ms, now));
                 let first = !view.fenced;
@@ -189,7 +189,7 @@
                 }
                 // The token of this heartbeat is above those of all orders to the previous
                 // incarnation.
-                work::StartState::Orphaned if fence > placed.doubt.fence => {
+                work::StartState::Orphaned if fence > placed.start_orders.fence => {
                     self.free(task, "lost with the previous incarnation of its worker");
                 }
                 // The worker has seen this epoch, so a start by an earlier holder can't arrive any
@@ -233,7 +233,7 @@
         self.stop_stalled(worker, lists, now);
     }
 
-    /// Stops stalled tasks so that they continue elsewhere, and quarantines the worker.
+    /// Stops stalled tasks so that they continue on another worker, and quarantines this one.
     fn stop_stalled(
         &mut self,
         worker: &id::Incarnation,
@@ -249,9 +249,9 @@
             let Some(placed) = self.placed.get_mut(&row.task) else {
                 continue;
             };
-            let moves =
+            let progressed =
                 placed.progress.0 != row.percent || share.is_some_and(|s| s < PROGRESS_SHARE);
-            if moves || step.is_none_or(|step| step.lasting || step.gang) {
+            if progressed || step.is_none_or(|step| step.lasting || step.gang) {
                 placed.progress = (row.percent, now);
             } else if now.saturating_sub(placed.progress.1) >= STALLED_AFTER {
                 stalled.push(row.task);
@@ -270,7 +270,7 @@
     /// Counts the capacity of runs that this holder didn't place; it is free only once their ends
     /// are reported. A run of unknown size counts as the worker's whole capacity.
     fn count_unknown_runs(&mut self, worker: &id::Incarnation, lists: &order::Lists) {
-        let mut taken = size::Size::default();
+        let mut unknown = size::Size::default();
         for row in &lists.running {
             let known = self.placed.get(&row.task);
             if known.is_some_and(|p| p.run == row.run && p.worker == *worker) {
@@ -280,11 +280,11 @@
             let step = entry.and_then(|entry| entry.job.step(row.task.step));
             let capacity = self.views.get(worker).map(|view| view.member.capacity);
             let room = step.map(spec::Step::reserved).or(capacity).unwrap_or_default();
-            taken = taken.plus(&room);
+            unknown = unknown.plus(&room);
         }
         if let Some(view) = self.views.get_mut(worker) {
-            self.changed |= view.unknown_capacity != taken;
-            view.unknown_capacity = taken;
+            self.changed |= view.unknown_capacity != unknown;
+            view.unknown_capacity = unknown;
         }
     }
 
--- a/crates/wharflane/src/job/holding.rs
+++ b/crates/wharflane/src/job/holding.rs
@@ -12,7 +12,7 @@
 use super::pending;
 use super::progress;
 use super::queue;
-use super::rows as kept;
+use super::rows as job_rows;
 use super::spec;
 use super::tickets;
 use super::work;
@@ -25,13 +25,13 @@
     /// The timing settings of the engine.
     pub(super) settings: event::Settings,
     /// The lease as last written.
-    pub(super) lease: kept::Lease,
+    pub(super) lease: job_rows::Lease,
     /// The version of the lease row.
     pub(super) version: u64,
     /// When the write that last renewed the lease was sent.
     pub(super) renewed: time::Duration,
-    /// When the lease was taken.
-    pub(super) taken: time::Duration,
+    /// When the lease was acquired.
+    pub(super) acquired: time::Duration,
     /// The longest task lease that the previous holder requested.
     pub(super) inherited: time::Duration,
     /// When the event in progress arrived.
@@ -46,7 +46,7 @@
     /// The jobs whose progress can't be decoded. None of their tasks is started, since it may
     /// already be done.
     pub(super) unreadable: collections::BTreeSet<spec::JobId>,
-    /// All jobs of the domain that are stored and readable, by ID.
+    /// All jobs of the domain that are stored and readable, by id.
     pub(super) jobs: collections::BTreeMap<spec::JobId, work::Entry>,
     /// The known workers, by incarnation.
     pub(super) views: collections::BTreeMap<id::Incarnation, worker::View>,
@@ -77,7 +77,7 @@
     pub(super) pending: Option<pending::Pending>,
     /// When the last transaction was built.
     pub(super) committed: time::Duration,
-    /// The number of commits since the lease was taken.
+    /// The number of commits since the lease was acquired.
     pub(super) commits: u64,
     /// When the counts of waiting jobs were last written.
     pub(super) counted_at: time::Duration,
@@ -87,12 +87,12 @@
     pub(super) changed: bool,
     /// When the last placement pass ran.
     pub(super) placed_at: time::Duration,
-    /// The number of searches for a worker since the lease was taken.
+    /// The number of searches for a worker since the lease was acquired.
     pub(super) worker_searches: u64,
-    /// The number of starving tasks that were started since the lease was taken.
+    /// The number of starving tasks that were started since the lease was acquired.
     pub(super) starvation_starts: u64,
     /// The starving task for which a worker was last searched; the next search begins after it, so
-    /// that all get their turn.
+    /// that starving tasks are served in round-robin order.
     pub(super) last_starving: Option<spec::TaskId>,
     /// Whether a best-effort task found no worker in the last pass.
     pub(super) best_effort_waits: bool,
@@ -106,10 +106,10 @@
     /// The learned run times and interference.
     pub(super) learned: learned::Learned,
     /// When the learned state was last written.
-    pub(super) kept_at: time::Duration,
+    pub(super) learned_written_at: time::Duration,
     /// The strain of each serving task, from its last reported tail latency.
     pub(super) strains: collections::BTreeMap<spec::TaskId, worker::Strain>,
-    /// How far the fencing token of each worker is above the epoch. It is kept as long as the
+    /// How far the fencing token of each worker is above the epoch. An offset lasts as long as the
     /// lease, since workers remember the highest token. All incarnations of a worker share it,
     /// because an order for one may reach the next.
     pub(super) fence_offsets: collections::BTreeMap<id::WorkerId, u64>,
@@ -118,16 +118,16 @@
     /// When to repeat the stop orders that were not accepted.
     pub(super) stop_retries: collections::BTreeMap<spec::TaskId, time::Duration>,
     /// The workers missing from the store's list, as last written.
-    pub(super) unlisted: Vec<kept::Unlisted>,
+    pub(super) unlisted: Vec<job_rows::Unlisted>,
     /// The load on this host's network link.
     pub(super) link: link::Link,
     /// When most of the workers with running tasks last fell silent at once.
     pub(super) mass_silence_at: Option<time::Duration>,
-    /// The tasks under which a worker was lost, as long as that matters.
+    /// The tasks under which a worker was lost, while their losses count.
     pub(super) loss_record: loss_record::LossRecord,
     /// The number of jobs that failed because workers crashed under one of their tasks.
     pub(super) given_up: u64,
-    /// The number of times that a worker turned out to have restarted under its ID.
+    /// The number of times that a worker turned out to have restarted under its id.
     pub(super) restarted: u64,
     /// Whether a worker has seen a higher epoch.
     pub(super) fenced: bool,
@@ -145,9 +145,9 @@
 pub struct Dump {
     /// The epoch of the lease.
     pub epoch: u64,
-    /// The number of commits since the lease was taken.
+    /// The number of commits since the lease was acquired.
     pub commits: u64,
-    /// The phase of each job, by ID.
+    /// The phase of each job, by id.
     pub jobs: collections::BTreeMap<String, progress::Phase>,
     /// The number of tasks that wait for a worker.
     pub ready: usize,
@@ -155,15 +155,15 @@
     pub placed: usize,
     /// The number of known workers.
     pub workers: usize,
-    /// The number of searches for a worker since the lease was taken.
+    /// The number of searches for a worker since the lease was acquired.
     pub sought: u64,
-    /// The number of starving tasks that were started since the lease was taken.
+    /// The number of starving tasks that were started since the lease was acquired.
     pub relieved: u64,
     /// The number of jobs that failed because workers crashed under one of their tasks, since the
-    /// lease was taken.
+    /// lease was acquired.
     pub given_up: u64,
-    /// The number of times that a worker turned out to have restarted under its ID, since the lease
-    /// was taken.
+    /// The number of times that a worker turned out to have restarted under its id, since the lease
+    /// was acquired.
     pub restarted: u64,
     /// The interval between heartbeats of a busy worker, in milliseconds; more than 50 if the
     /// host's link has little bandwidth.
@@ -179,19 +179,19 @@
     /// Creates the state of a domain without jobs.
     pub(super) fn new(
         settings: event::Settings,
-        lease: kept::Lease,
+        lease: job_rows::Lease,
         version: u64,
-        (taken, inherited): (time::Duration, time::Duration),
+        (acquired, inherited): (time::Duration, time::Duration),
         queues: sync::Arc<queue::Queues>,
     ) -> Self {
         let mut holding = Self {
             settings,
             lease,
             version,
-            renewed: taken,
-            taken,
+            renewed: acquired,
+            acquired,
             inherited,
-            now: taken,
+            now: acquired,
             wall_ms: 0,
             queues: sync::Arc::default(),
             services: collections::BTreeSet::new(),
@@ -210,7 +210,7 @@
             commit_limits: pending::CommitLimits::default(),
             staged: Vec::new(),
             pending: None,
-            committed: taken,
+            committed: acquired,
             commits: 0,
             counted_at: time::Duration::ZERO,
             jobs_read_up_to_ms: None,
@@ -224,13 +224,13 @@
             tickets: tickets::Tickets::default(),
             wait_logged_at: collections::BTreeMap::new(),
             learned: learned::Learned::default(),
-            kept_at: taken,
+            learned_written_at: acquired,
             strains: collections::BTreeMap::new(),
             fence_offsets: collections::BTreeMap::new(),
             unsettled: collections::BTreeSet::new(),
             stop_retries: collections::BTreeMap::new(),
             unlisted: Vec::new(),
-            link: link::Link::new(settings.link_bytes_per_s, taken),
+            link: link::Link::new(settings.link_bytes_per_s, acquired),
             mass_silence_at: None,
             loss_record: loss_record::LossRecord::default(),
             given_up: 0,
@@ -271,21 +271,21 @@
         }
     }
 
-    /// Returns the number of searches for a worker since the lease was taken.
+    /// Returns the number of searches for a worker since the lease was acquired.
     #[must_use]
     pub fn worker_searches(&self) -> u64 {
         self.worker_searches
     }
 
     /// Returns the number of jobs that failed because workers crashed under one of their tasks,
-    /// since the lease was taken.
+    /// since the lease was acquired.
     #[must_use]
     pub fn given_up(&self) -> u64 {
         self.given_up
     }
 
-    /// Returns the number of times that a worker turned out to have restarted under its ID, since
-    /// the lease was taken.
+    /// Returns the number of times that a worker turned out to have restarted under its id, since
+    /// the lease was acquired.
     #[must_use]
     pub fn restarted(&self) -> u64 {
         self.restarted
@@ -302,7 +302,7 @@
         self.release_now = true;
     }
 
-    /// Returns whether orders may be sent, which requires that no other host can have taken the
+    /// Returns whether orders may be sent, which requires that no other host can have acquired the
     /// lease yet.
     pub(super) fn may_order(&self, now: time::Duration) -> bool {
         now < self.renewed + self.settings.lease.saturating_sub(self.settings.margin)
@@ -319,15 +319,15 @@
             self.open_round(job, round);
         }
         let busy = self.views.values().filter(|view| !view.tasks.is_empty()).count();
-        self.link.pass(busy, self.settings.task_lease, now);
+        self.link.replenish(busy, self.settings.task_lease, now);
         self.expire(now);
-        self.take_up_again(now);
+        self.retry_set_aside_jobs(now);
         if self.may_order(now) && !self.leaving {
-            self.repeat_orders(now);
-            self.repeat_stops(now);
+            self.resend_starts(now);
+            self.resend_stops(now);
             self.send_due_heartbeats(now);
         }
-        self.free_lapsed(now);
+        self.free_expired(now);
     }
 
     /// Places tasks, builds the next commit and returns all pending effects.
@@ -345,17 +345,17 @@
         std::mem::take(&mut self.out)
     }
 
-    /// Logs a task's release from its worker and releases it.
+    /// Releases a task from its worker, like `release`, and logs why.
     pub(super) fn free(&mut self, task: spec::TaskId, why: &'static str) {
         if let Some(placed) = self.placed.get(&task) {
             tracing::info!(%task, run = placed.run, worker = %placed.worker, why, "task freed");
         }
-        self.give_back(task);
+        self.release(task);
     }
 
-    /// Releases a task from its worker and queues it again if it should still run. Nothing is
-    /// logged; the end of the run was.
-    pub(super) fn give_back(&mut self, task: spec::TaskId) {
+    /// Releases a task from its worker and queues it again if it should still run. Logs nothing,
+    /// for callers that have logged why the run ended.
+    pub(super) fn release(&mut self, task: spec::TaskId) {
         let Some(placed) = self.placed.remove(&task) else {
             return;
         };
@@ -379,6 +379,6 @@
         self.staged.retain(|staged| *staged != task);
         self.mark_task(task);
         self.open_step(task.job, task.round, task.step);
-        self.give_up_if_lost(task, self.now);
+        self.fail_job_after_losses(task, self.now);
     }
 }
--- a/crates/wharflane/src/job/incarnations.rs
+++ b/crates/wharflane/src/job/incarnations.rs
@@ -1,11 +1,10 @@
 //! Handles consecutive incarnations of a worker, which share its id.
 //!
-//! A new incarnation knows nothing of the previous one, and nothing known of the previous one holds
-//! for it, so each has its own view. They may share orders, though: an order names a worker by its
-//! id, so one meant for the previous incarnation may be carried out by the next, even late. A task
-//! that was ordered there is therefore not restarted until the next incarnation has answered a
-//! heartbeat with a fence above that order, which shows whether the run is there and prevents a
-//! late one.
+//! A new incarnation has no state of the previous one, so the holder has a separate view of each.
+//! Orders may reach either, though: an order names a worker by its id, so one meant for the
+//! previous incarnation may be carried out by the next, even late. A task that was ordered there is
+//! therefore not restarted until the next incarnation has answered a heartbeat with a fence above
+//! that order, which shows whether the run is there and prevents a late one.
 
 use std::collections;
 use std::time;
@@ -18,7 +17,7 @@
 use super::worker;
 use crate::id;
 
-/// The longest time after which an order without an answer may still be carried out.
+/// How long after it was sent an order without an answer may still be carried out.
 const MAX_ORDER_DELAY: time::Duration = time::Duration::from_secs(12);
 
 impl holding::Holding {
@@ -60,7 +59,7 @@
             self.reserve_capacity(*task, &incarnation);
         }
         for task in orphans {
-            self.give_up_if_lost(task, now);
+            self.fail_job_after_losses(task, now);
         }
     }
 
@@ -134,11 +133,11 @@
         }
         let open = orphans.iter().filter_map(|task| self.placed.get(task));
         let mut open = open.filter(|placed| {
-            placed.doubt.unanswered > 0
+            placed.start_orders.unanswered > 0
                 || !matches!(placed.start_state, work::StartState::Confirmed(_))
         });
         let late = if open.next().is_some() { MAX_ORDER_DELAY } else { time::Duration::ZERO };
-        // Whatever lease an order for the past incarnation requested, the worker cuts it to this.
+        // The worker cuts the lease that an order for the past incarnation requested to this.
         let lease = self.settings.task_lease_max;
         worker::Inherited { lease, until: now + late + worker::longest_by_holder_clock(lease) }
     }
--- a/crates/wharflane/src/job/intake.rs
+++ b/crates/wharflane/src/job/intake.rs
@@ -9,7 +9,7 @@
 use super::holding;
 use super::learned;
 use super::progress;
-use super::rows as kept;
+use super::rows as job_rows;
 use super::spec;
 use super::work;
 use crate::id;
@@ -30,7 +30,8 @@
     pub(super) fn load(&mut self, jobs: &[rows::Row], progress: &[rows::Row], now: time::Duration) {
         let mut known = collections::BTreeMap::<spec::JobId, (progress::Progress, u32)>::new();
         for row in progress {
-            let (Some((job, at)), Some(text)) = (kept::progress_row(&row.name), &row.value) else {
+            let (Some((job, at)), Some(text)) = (job_rows::progress_row(&row.name), &row.value)
+            else {
                 tracing::warn!(key = %row.name, "skipped a progress row without a job ID");
                 continue;
             };
@@ -65,8 +66,8 @@
     }
 
     /// Applies rows of accepted or cancelled jobs.
-    pub(super) fn jobs_read(&mut self, rows: &[rows::Row], now: time::Duration) {
-        let parts: Vec<String> = kept::job_parts(self.settings.domain).collect();
+    pub(super) fn apply_job_rows(&mut self, rows: &[rows::Row], now: time::Duration) {
+        let parts: Vec<String> = job_rows::job_parts(self.settings.domain).collect();
         for row in rows.iter().filter(|row| parts.contains(&row.part)) {
             let read = read_job(row).filter(|(job, _)| !self.unreadable.contains(job));
             let Some((job, accepted)) = read else {
@@ -88,12 +89,12 @@
     fn add_job(
         &mut self,
         job: spec::JobId,
-        accepted: kept::Accepted,
+        accepted: job_rows::Accepted,
         order: u64,
         progress: progress::Progress,
         now: time::Duration,
     ) {
-        let kept::Accepted { job: spec, cancelled, accepted_ms } = accepted;
+        let job_rows::Accepted { job: spec, cancelled, accepted_ms } = accepted;
         self.services.insert(spec.service.clone());
         let accepted_ms = if accepted_ms == 0 { self.wall_ms } else { accepted_ms };
         for (position, task) in &progress.tasks {
@@ -105,7 +106,7 @@
                 run: task.run,
                 start_state: work::StartState::Inherited,
                 lease_until_ms: 0,
-                doubt: work::Doubt::default(),
+                start_orders: work::StartOrders::default(),
                 began: None,
                 stopped: None,
                 progress: (0, now),
@@ -131,7 +132,7 @@
             set_aside: None,
             begun,
             ended,
-            taken: collections::BTreeMap::new(),
+            run_times: collections::BTreeMap::new(),
         };
         self.jobs.insert(job, entry);
         if phase.ended() {
@@ -167,7 +168,7 @@
         let Some(entry) = self.jobs.get(&job) else {
             return;
         };
-        let Some(spec) = entry.job.step(step).filter(|_| entry.active()) else {
+        let Some(spec) = entry.job.step(step).filter(|_| entry.is_active()) else {
             return;
         };
         let due_ms = entry.job.due_ms(round);
@@ -252,7 +253,7 @@
 
     /// Cancels a job and stops its running tasks.
     pub(super) fn cancel(&mut self, job: spec::JobId, now: time::Duration) {
-        let Some(entry) = self.jobs.get_mut(&job).filter(|entry| entry.active()) else {
+        let Some(entry) = self.jobs.get_mut(&job).filter(|entry| entry.is_active()) else {
             return;
         };
         entry.cancelled = true;
@@ -280,7 +281,7 @@
         }
         self.tickets.forget(job);
         self.loss_record.forget_job(job);
-        self.keep_for_none(|task| task.job == job);
+        self.release_reservations(|task| task.job == job);
         self.mark(job);
         let tasks = self.placed.range(first..).take_while(|(task, _)| task.job == job);
         let tasks: Vec<spec::TaskId> = tasks.map(|(task, _)| *task).collect();
@@ -293,7 +294,7 @@
     /// row without progress would run again.
     pub(super) fn expire(&mut self, now: time::Duration) {
         let keep = self.settings.keep;
-        // A job with running tasks is kept, since its steps are needed to release their capacity.
+        // The steps of a job are needed to release the capacity of its running tasks.
         let has_placed_tasks = |job: spec::JobId| {
             let first = spec::TaskId { job, round: 0, step: 0, index: 0 };
             self.placed.range(first..).next().is_some_and(|(task, _)| task.job == job)
@@ -305,7 +306,7 @@
         for (job, entry) in expired_jobs {
             // If the removal fails, it is retried after another `keep` period.
             entry.ended = Some(now);
-            let key = kept::job_key(self.settings.domain, *job);
+            let key = job_rows::job_key(self.settings.domain, *job);
             let txn = rows::Txn {
                 expects: vec![rows::Expect { key: key.clone(), version: entry.version }],
                 writes: vec![rows::Write { key, value: None }],
@@ -315,7 +316,7 @@
     }
 
     /// Queues a job's progress rows for removal in the next commit, once its own row is gone.
-    pub(super) fn dropped(&mut self, job: spec::JobId, done: bool) {
+    pub(super) fn handle_row_deleted(&mut self, job: spec::JobId, done: bool) {
         tracing::debug!(%job, done, "removal of an ended job's row answered");
         if let Some(entry) = self.jobs.get(&job).filter(|_| done) {
             self.expired.push((job, progress::Progress::rows(&entry.job)));
@@ -324,7 +325,7 @@
 }
 
 /// Decodes the row of an accepted job.
-fn read_job(row: &rows::Row) -> Option<(spec::JobId, kept::Accepted)> {
+fn read_job(row: &rows::Row) -> Option<(spec::JobId, job_rows::Accepted)> {
     let job = job_of(row)?;
     let text = row.value.as_deref()?;
     match serde_json::from_str(text) {
@@ -336,7 +337,7 @@
     }
 }
 
-/// Parses the job's ID from the key of its row.
+/// Parses the job's id from the key of its row.
 fn job_of(row: &rows::Row) -> Option<spec::JobId> {
     let job = row.name.parse().ok();
     if job.is_none() {
--- a/crates/wharflane/src/job/interference.rs
+++ b/crates/wharflane/src/job/interference.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Strain that an unknown best-effort image is assumed to cause if it used a whole worker's CPU.
+/// Strain that an unknown best-effort image is assumed to cause when it uses a whole worker's CPU.
 const PRIOR_STRAIN: f64 = 0.5;
 /// Variance of that assumption.
 const PRIOR_VARIANCE: f64 = 0.5;
@@ -22,15 +22,15 @@
 const PRIOR_OFFSET_VARIANCE: f64 = 0.001;
 /// Variance of one observed strain around the model.
 const NOISE_VARIANCE: f64 = 0.006;
-/// Weight of an observation relative to the next one; the model forgets over some thousand
-/// observations.
+/// Weight of an observation relative to the next one; older observations lose their weight over
+/// some thousand newer ones.
 const FORGETTING_FACTOR: f64 = 0.9995;
 /// Bound of the error of one observation, since tail latencies have outliers.
 const MAX_ERROR: f64 = 0.25;
 /// Upper bound of the unloaded tail latency, as a fraction of the target; used until a lower one is
 /// observed.
-const PRIOR_REST_FRACTION: f64 = 0.25;
-/// Highest strain to which a tail latency is converted.
+const PRIOR_UNLOADED_FRACTION: f64 = 0.25;
+/// Upper bound of the strain to which a tail latency is converted.
 const MAX_STRAIN: f64 = 0.98;
 
 /// Maximum number of distinct images; further ones share the last number. Their names take up to 40
@@ -196,8 +196,8 @@
         self.cap_variance();
     }
 
-    /// Caps the variance of each image's factor at its prior, since forgetting raises it without
-    /// bound for images that are not seen.
+    /// Caps the variance of each image's factor at its prior, since `FORGETTING_FACTOR` raises it
+    /// without bound for images that are not observed.
     fn cap_variance(&mut self) {
         for at in 1..self.factors.len() {
             if self.covariance[at][at] > PRIOR_VARIANCE {
@@ -229,7 +229,7 @@
     /// The stored image names, by number.
     names: Vec<String>,
     /// The lowest observed tail latency of each serving image, in milliseconds.
-    rest_ms: collections::BTreeMap<Image, f64>,
+    unloaded_ms: collections::BTreeMap<Image, f64>,
     /// The fit of each serving image.
     fits: collections::BTreeMap<Image, StrainFit>,
 }
@@ -263,14 +263,14 @@
 
     /// Encodes image names and unloaded tail latencies.
     pub fn encode_images(&self) -> Result<String, serde_json::Error> {
-        let (names, rest_ms) = (self.names.clone(), self.rest_ms.clone());
-        serde_json::to_string(&StoredImages { names, rest_ms })
+        let (names, unloaded_ms) = (self.names.clone(), self.unloaded_ms.clone());
+        serde_json::to_string(&StoredImages { names, rest_ms: unloaded_ms })
     }
 
     /// Decodes image names and unloaded tail latencies.
     pub fn decode_images(&mut self, text: &str) -> Result<(), serde_json::Error> {
         let stored: StoredImages = serde_json::from_str(text)?;
-        (self.names, self.rest_ms) = (stored.names, stored.rest_ms);
+        (self.names, self.unloaded_ms) = (stored.names, stored.rest_ms);
         Ok(())
     }
 
@@ -294,31 +294,31 @@
     /// read.
     pub fn drop_unnamed(&mut self) {
         let named = self.names.len();
-        self.rest_ms.retain(|image, _| image.0 < named);
+        self.unloaded_ms.retain(|image, _| image.0 < named);
         self.fits.retain(|image, fit| {
             image.0 < named && fit.images.iter().all(|filling| filling.0 < named)
         });
     }
 
     /// Returns the unloaded tail latency of a serving image, in milliseconds.
-    fn rest_ms(&self, image: Image, target_ms: u64) -> f64 {
-        let prior = target_ms as f64 * PRIOR_REST_FRACTION;
-        self.rest_ms.get(&image).map_or(prior, |rest| rest.min(prior))
+    fn unloaded_ms(&self, image: Image, target_ms: u64) -> f64 {
+        let prior = target_ms as f64 * PRIOR_UNLOADED_FRACTION;
+        self.unloaded_ms.get(&image).map_or(prior, |lowest| lowest.min(prior))
     }
 
     /// Converts a tail latency to a strain and updates the lowest observed one.
     pub fn strain(&mut self, image: Image, tail_ms: u64, target_ms: u64) -> f64 {
         let tail = tail_ms as f64;
         if tail_ms > 0 {
-            let lowest = self.rest_ms.entry(image).or_insert(tail);
+            let lowest = self.unloaded_ms.entry(image).or_insert(tail);
             *lowest = lowest.min(tail);
         }
-        (1.0 - self.rest_ms(image, target_ms) / tail.max(1.0)).clamp(0.0, MAX_STRAIN)
+        (1.0 - self.unloaded_ms(image, target_ms) / tail.max(1.0)).clamp(0.0, MAX_STRAIN)
     }
 
     /// Returns the strain at which a serving image just meets its target.
     pub fn limit(&self, image: Image, target_ms: u64) -> f64 {
-        1.0 - self.rest_ms(image, target_ms) / (target_ms.max(1) as f64)
+        1.0 - self.unloaded_ms(image, target_ms) / (target_ms.max(1) as f64)
     }
 
     /// Returns the strain on a serving image by a best-effort one that uses a whole worker's CPU.
--- a/crates/wharflane/src/job/isolation.rs
+++ b/crates/wharflane/src/job/isolation.rs
@@ -1,8 +1,8 @@
 //! Isolates the starts of tasks under which workers were lost.
 //!
-//! The next starts of such a task show whether it crashes its workers. An isolated culprit takes no
-//! neighbours with it and casts no suspicion on them. A sound task loses no further workers when it
-//! starts on a steady worker while no workers are lost for other causes.
+//! The next starts of such a task show whether it crashes its workers. An isolated culprit causes
+//! no loss of work to neighbours and casts no suspicion on them. A sound task loses no further
+//! workers when it starts on a steady worker while no workers are lost for other causes.
 
 use std::time;
 
@@ -13,19 +13,20 @@
 use super::worker;
 use crate::id;
 
-/// From this many losses on a start is isolated, however long the task had run when its workers
-/// were lost.
+/// From this many losses on, a start is isolated regardless of how long the task had run when its
+/// workers were lost.
 const ISOLATION_LOSSES: u32 = 2;
-/// From this many losses on the task's next worker must run nothing else: few starts are left, and
+/// From this many losses on, the task's next worker must run nothing else: few starts are left, and
 /// each has to give a clear result.
 const FULL_ISOLATION_LOSSES: u32 = 3;
-/// How long a task in full isolation keeps its worker to itself. Keeping it for as long as the task
-/// is a suspect would take too much capacity where many workers are lost.
+/// How long a worker stays reserved for a task in full isolation. Reserving it for as long as the
+/// task is a suspect would cost too much capacity where many workers are lost.
 const FULL_ISOLATION_TIME: time::Duration = time::Duration::from_secs(5);
-/// At most one worker in this many is reserved for suspects; other work has the rest.
+/// At most one worker in this many is reserved for suspects; the others stay available to other
+/// tasks.
 const RESERVED_DIVISOR: usize = 4;
-/// The same for a suspect of several losses, which further losses would fail: clearing it comes
-/// first.
+/// The same for a task with several losses, whose job the next ones would fail: clearing it of
+/// suspicion has precedence.
 const RESERVED_DIVISOR_REPEATED: usize = 2;
 /// How long a suspect waits for isolation before it starts without it; users accept no wait of 3 s.
 const ISOLATION_WAIT: time::Duration = time::Duration::from_millis(1_500);
@@ -69,8 +70,8 @@
     }
 
     /// Returns whether a task avoids other tasks under which a worker was lost, before placement
-    /// cost is compared: if its start must be isolated, or if such tasks are few. With many of them
-    /// this would only cost sound tasks good placements.
+    /// cost is compared: if its start must be isolated, or if such tasks are few. With many of
+    /// them, avoiding them would only worsen the placement of sound tasks.
     pub(super) fn avoids_suspects(&self, task: spec::TaskId) -> bool {
         let few = self.loss_record.len() * RESERVED_DIVISOR <= self.views.len();
         self.required_isolation(task) > Isolation::None || few && self.has_losses(task)
@@ -83,7 +84,7 @@
             return;
         }
         self.loss_record.clear_deferred(task);
-        self.keep_for_none(|reserved| reserved == task);
+        self.release_reservations(|reserved| reserved == task);
         let kept = self.may_reserve_worker(task);
         let losses = self.losses(task).all();
         let Some(view) = self.views.get_mut(worker) else {
@@ -96,7 +97,7 @@
     }
 
     /// Releases the reservations of workers whose tasks match a condition.
-    pub(super) fn keep_for_none(&mut self, matches: impl Fn(spec::TaskId) -> bool) {
+    pub(super) fn release_reservations(&mut self, matches: impl Fn(spec::TaskId) -> bool) {
         for view in self.views.values_mut() {
             self.changed |= view.reserved_for.take_if(|reserved| matches(*reserved)).is_some();
         }
@@ -178,18 +179,20 @@
     /// Returns whether leases of a task have expired on a worker that may still turn out to be
     /// lost.
     fn is_loss_undecided(&self, task: spec::TaskId) -> bool {
-        self.views.values().any(|view| view.lapsed.iter().any(|lapsed| lapsed.is_of(task)))
+        self.views
+            .values()
+            .any(|view| view.expired_tasks.iter().any(|presence| presence.is_of(task)))
     }
 
-    /// Reserves the worker where least is at stake for a task, so that it empties as its other
-    /// tasks end.
+    /// Reserves the worker with the lowest isolation cost for a task, so that it empties as its
+    /// other tasks end.
     fn reserve_to_empty(&mut self, task: spec::TaskId, step: &spec::Step, now: time::Duration) {
         let Some(entry) = self.jobs.get(&task.job) else {
             return;
         };
         let service = self.service(&entry.job);
-        let would_take = |view: &worker::View| {
-            let obstacle = obstacle::plain(view, service, task, step, view.takes(task, now));
+        let would_accept = |view: &worker::View| {
+            let obstacle = obstacle::plain(view, service, task, step, view.accepts(task, now));
             obstacle.is_none_or(|obstacle| obstacle == obstacle::Obstacle::Room)
         };
         let is_reserved = |view: &worker::View| view.reserved_for == Some(task);
@@ -197,7 +200,7 @@
             return;
         }
         let ends = |view: &&worker::View| step.reserved().fits(&view.free_in_time());
-        let views = self.views.values().filter(|view| would_take(view)).filter(ends);
+        let views = self.views.values().filter(|view| would_accept(view)).filter(ends);
         let least = views.min_by_key(|view| IsolationCost::of(self, task, view, now));
         let worker = least.map(|view| view.member.incarnation.clone());
         if let Some(view) = worker.and_then(|worker| self.views.get_mut(&worker)) {
@@ -222,22 +225,23 @@
         };
         let service = self.service(&entry.job);
         let mut empty = self.views.values().filter(|view| view.tasks.is_empty());
-        empty
-            .any(|view| obstacle::plain(view, service, task, step, view.takes(task, now)).is_none())
+        empty.any(|view| {
+            obstacle::plain(view, service, task, step, view.accepts(task, now)).is_none()
+        })
     }
 
     /// Returns whether one more worker may be reserved for a suspect. Silent workers don't count,
     /// since other work can't use them.
     fn may_reserve_worker(&self, task: spec::TaskId) -> bool {
         let again = self.losses(task).all() >= FULL_ISOLATION_LOSSES;
-        let most =
+        let max =
             self.views.len() / if again { RESERVED_DIVISOR_REPEATED } else { RESERVED_DIVISOR };
-        let most = most.max(1);
+        let max = max.max(1);
         let others =
             |view: &&worker::View| view.reserved_for.is_some_and(|reserved| reserved != task);
         let reserved =
             self.views.values().filter(others).filter(|view| view.missed_heartbeats == 0);
-        reserved.count() < most
+        reserved.count() < max
     }
 }
 
@@ -249,8 +253,8 @@
     occupied: bool,
     /// The worker was lost under this task in an earlier incarnation.
     lost_before: bool,
-    /// The tasks there under which a worker was lost too; a further loss could not be told apart
-    /// between them.
+    /// The tasks there under which a worker was lost too; a further loss could not be attributed to
+    /// one of them.
     suspects: usize,
     /// The number of its incarnations that ended recently; such a worker may fail for another
     /// reason.
--- a/crates/wharflane/src/job/learned.rs
+++ b/crates/wharflane/src/job/learned.rs
@@ -8,14 +8,15 @@
 
 /// The row with the image names.
 const IMAGES_ROW: &str = "images";
-/// The row of workers missing from the store's list. It is stored beside the learned state, but
-/// read elsewhere.
+/// The row of workers missing from the store's list. It is stored with the learned state, but the
+/// module `unlisted` reads it.
 pub(super) const UNLISTED: &str = "unlisted";
 /// The row with the run times.
 const TIMES_ROW: &str = "times";
 /// Prefix of the rows with the fit of one serving image.
 const FIT_ROW_PREFIX: &str = "fit-";
-/// Maximum number of fit rows in one write; a larger number is written in turns.
+/// Maximum number of fit rows in one write; if there are more, successive writes rotate through
+/// them.
 const MAX_FITS_PER_WRITE: usize = 8;
 
 /// The learned state of a domain.
--- a/crates/wharflane/src/job/link.rs
+++ b/crates/wharflane/src/job/link.rs
@@ -2,9 +2,9 @@
 //! sends, and how often it sends heartbeats and commits.
 //!
 //! An overloaded link delays every answer: each order without an answer in time is sent again over
-//! a new connection, and leases of running tasks expire, which loses their work. So starts wait
-//! here at no cost, and heartbeats to busy workers are spread out. A host whose bandwidth is
-//! unknown is not limited.
+//! a new connection, and leases of running tasks expire, which loses their work. So starts are held
+//! back, which costs nothing before they are sent, and heartbeats to busy workers are spread out. A
+//! host whose bandwidth is unknown is not limited.
 
 use std::time;
 
@@ -61,9 +61,9 @@
         }
     }
 
-    /// Adds the starts allowed since the last call, and spreads heartbeats to `busy` workers whose
-    /// task leases last for `task_lease`.
-    pub fn pass(&mut self, busy: usize, task_lease: time::Duration, now: time::Duration) {
+    /// Replenishes the budget of starts, and spreads heartbeats to `busy` workers whose task leases
+    /// last for `task_lease`.
+    pub fn replenish(&mut self, busy: usize, task_lease: time::Duration, now: time::Duration) {
         let Some(bandwidth) = self.bandwidth else {
             return;
         };
@@ -85,12 +85,12 @@
     }
 
     /// Deducts a start from the budget.
-    pub fn sent(&mut self) {
+    pub fn deduct_start(&mut self) {
         self.start_budget -= 1.0;
     }
 
     /// Sets the pause after a commit with this many bytes of values.
-    pub fn committed(&mut self, bytes: usize) {
+    pub fn record_commit(&mut self, bytes: usize) {
         let Some(bandwidth) = self.bandwidth else {
             return;
         };
--- a/crates/wharflane/src/job/loading.rs
+++ b/crates/wharflane/src/job/loading.rs
@@ -1,4 +1,4 @@
-//! Loads the state of a domain after its lease was taken, and renews the lease meanwhile.
+//! Loads the state of a domain after its lease was acquired, and renews the lease while loading.
 
 use std::sync;
 use std::time;
@@ -7,7 +7,7 @@
 use super::engine;
 use super::event;
 use super::holding;
-use super::rows as kept;
+use super::rows as job_rows;
 use super::worker;
 use crate::rows;
 
@@ -17,14 +17,17 @@
 
 impl engine::Engine {
     /// Renews the lease while loading, or steps down if loading takes too long.
-    pub(super) fn go_on_loading(&mut self, now: time::Duration) -> Vec<event::Effect> {
-        let engine::Role::Loading { lease, version, taken, renewed, renewal, .. } = &mut self.role
+    pub(super) fn continue_loading(&mut self, now: time::Duration) -> Vec<event::Effect> {
+        let engine::Role::Loading { lease, version, acquired, renewed, renewal, .. } =
+            &mut self.role
         else {
             return Vec::new();
         };
         let lease_time = self.settings.lease.saturating_sub(self.settings.margin);
         let max_loading = lease_time * MAX_LOAD_LEASES;
-        if now.saturating_sub(*renewed) >= lease_time || now.saturating_sub(*taken) >= max_loading {
+        if now.saturating_sub(*renewed) >= lease_time
+            || now.saturating_sub(*acquired) >= max_loading
+        {
             self.step_down(now, "the state was not loaded in time");
             return Vec::new();
         }
@@ -39,7 +42,7 @@
         let holder = lease.holder.clone().filter(|_| !self.leaving);
         let new_renewal = || engine::Renewal {
             number: None,
-            lease: kept::Lease { seq: lease.seq + 1, holder, ..lease.clone() },
+            lease: job_rows::Lease { seq: lease.seq + 1, holder, ..lease.clone() },
             sent: now,
         };
         let renewal = renewal.get_or_insert_with(new_renewal);
@@ -56,7 +59,12 @@
     }
 
     /// Applies the result of a lease renewal that was made while loading.
-    pub(super) fn renewed(&mut self, now: time::Duration, number: u64, outcome: &rows::Outcome) {
+    pub(super) fn handle_renewal_outcome(
+        &mut self,
+        now: time::Duration,
+        number: u64,
+        outcome: &rows::Outcome,
+    ) {
         let engine::Role::Loading { lease, version, renewed, renewal, .. } = &mut self.role else {
             return;
         };
@@ -87,14 +95,14 @@
     }
 
     /// Starts to hold the domain with the loaded state.
-    pub(super) fn loaded(
+    pub(super) fn finish_loading(
         &mut self,
         now: time::Duration,
         jobs: &[rows::Row],
         progress: &[rows::Row],
         learned: &[rows::Row],
     ) -> Vec<event::Effect> {
-        let engine::Role::Loading { lease, version, taken, inherited, renewed, renewal } =
+        let engine::Role::Loading { lease, version, acquired, inherited, renewed, renewal } =
             &self.role
         else {
             return Vec::new();
@@ -103,7 +111,7 @@
             self.settings,
             lease.clone(),
             *version,
-            (*taken, *inherited),
+            (*acquired, *inherited),
             sync::Arc::clone(&self.queues),
         );
         holding.renewed = *renewed;
@@ -126,7 +134,7 @@
             epoch = lease.epoch,
             jobs = jobs.len(),
             workers = self.members.len(),
-            took_ms = worker::millis(now.saturating_sub(*taken)),
+            took_ms = worker::millis(now.saturating_sub(*acquired)),
             "holding the domain"
         );
         self.role = engine::Role::Holding(Box::new(holding));
--- a/crates/wharflane/src/job/loss_record.rs
+++ b/crates/wharflane/src/job/loss_record.rs
@@ -7,21 +7,22 @@
 use super::spec;
 use crate::id;
 
-/// The most losses without a suspect that are remembered; more would not change any decision.
-const MAX_REMEMBERED: usize = 1_000;
+/// Maximum number of losses without a suspect that are recorded; more would not change any
+/// decision.
+const MAX_RECORDED: usize = 1_000;
 /// How long after a loss a worker counts as unsteady, in whichever incarnation.
 const UNSTEADY_FOR: time::Duration = time::Duration::from_secs(60);
 
 /// The possible cause of a worker's loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Cause {
-    /// No task had just started there, so the cause lies elsewhere.
+    /// No task had just started there, so no start caused the loss.
     NoSuspect,
     /// A task had just started there and may have crashed it.
     Suspect,
 }
 
-/// The tasks under which losses of workers still count, and the recent losses of workers.
+/// The tasks against which losses of workers still count, and the recent losses of workers.
 #[derive(Debug, Default)]
 pub(super) struct LossRecord {
     /// The tasks, each with the workers that this holder saw being lost under it.
@@ -37,8 +38,8 @@
 }
 
 impl LossRecord {
-    /// Adds a task with a loss recorded by an earlier holder. The other losses of that time are
-    /// unknown, so they are assumed to have lasted until now.
+    /// Adds a task with a loss recorded by an earlier holder. Whether other workers were lost at
+    /// that time is unknown, so the last loss without a suspect is assumed to be now.
     pub fn inherit(&mut self, task: spec::TaskId, now: time::Duration) {
         self.tasks.entry(task).or_default();
         self.last_without_suspect = Some(now);
@@ -49,7 +50,7 @@
         self.tasks.entry(task).or_default().insert(worker.clone());
     }
 
-    /// Returns whether a loss of a worker counts under a task.
+    /// Returns whether a loss of a worker counts against a task.
     pub fn contains(&self, task: spec::TaskId) -> bool {
         self.tasks.contains_key(&task)
     }
@@ -59,7 +60,7 @@
         self.tasks.get(&task).is_some_and(|workers| workers.contains(worker))
     }
 
-    /// Returns the number of tasks under which losses count.
+    /// Returns the number of tasks against which losses count.
     pub fn len(&self) -> usize {
         self.tasks.len()
     }
@@ -74,13 +75,13 @@
         self.deferred.remove(&task);
     }
 
-    /// Forgets a task whose losses no longer count.
+    /// Removes a task whose losses no longer count.
     pub fn forget(&mut self, task: spec::TaskId) {
         self.tasks.remove(&task);
         self.deferred.remove(&task);
     }
 
-    /// Forgets all tasks of a job.
+    /// Removes all tasks of an ended job.
     pub fn forget_job(&mut self, job: spec::JobId) {
         self.tasks.retain(|task, _| task.job != job);
         self.deferred.retain(|task| task.job != job);
@@ -89,7 +90,7 @@
     /// Records the unplanned end of a worker's incarnation.
     pub fn note_end(&mut self, worker: &id::WorkerId, cause: Cause, now: time::Duration) {
         if cause == Cause::NoSuspect {
-            if self.without_suspect.len() >= MAX_REMEMBERED {
+            if self.without_suspect.len() >= MAX_RECORDED {
                 self.without_suspect.pop_front();
             }
             self.without_suspect.push_back(now);
--- a/crates/wharflane/src/job/lost.rs
+++ b/crates/wharflane/src/job/lost.rs
@@ -9,9 +9,9 @@
 use super::worker;
 use crate::id;
 
-/// The fewest silent workers that suggest a fault of this host rather than theirs; fewer may fail
-/// together with a rack.
-const MANY_SILENT: usize = 4;
+/// Minimum number of silent workers that suggests a fault of this host; fewer may fail together
+/// with their rack.
+const MIN_MASS_SILENCE: usize = 4;
 
 impl holding::Holding {
     /// Frees all tasks of a worker incarnation that is known to be over.
@@ -44,16 +44,16 @@
                 tracing::info!(
                     %task, run = placed.run, worker = %placed.worker, why,
                     at_work_ms = self.at_work(placed).map(worker::millis),
-                    unanswered = placed.doubt.unanswered, "task freed"
+                    unanswered = placed.start_orders.unanswered, "task freed"
                 );
             }
-            self.give_back(*task);
-            self.give_up_if_lost(*task, self.now);
+            self.release(*task);
+            self.fail_job_after_losses(*task, self.now);
         }
     }
 
     /// Frees the tasks of silent workers once all leases granted there have expired.
-    pub(super) fn free_lapsed(&mut self, now: time::Duration) {
+    pub(super) fn free_expired(&mut self, now: time::Duration) {
         if self.are_most_silent() {
             self.mass_silence_at = Some(now);
         }
@@ -61,7 +61,7 @@
         let silent = self.views.iter().filter(|(_, view)| {
             (view.missed_heartbeats > 0 || !view.listed)
                 && !view.tasks.is_empty()
-                && view.lapsed(since)
+                && view.leases_expired(since)
         });
         let silent: Vec<id::Incarnation> = silent.map(|(worker, _)| worker.clone()).collect();
         for worker in silent {
@@ -73,7 +73,7 @@
                 %worker, tasks = tasks.len(), granted_ms = view.granted_until_ms,
                 clock_ms = view.clock_ms(now), "leases of a silent worker have expired"
             );
-            self.record_lapsed(&worker, &tasks);
+            self.record_expired_tasks(&worker, &tasks);
             self.free_lost(&tasks, "lease expired");
         }
         self.views
@@ -81,8 +81,8 @@
         self.free_inherited(now);
     }
 
-    /// Returns how much longer than their leases tasks of silent workers are kept, since the
-    /// silence may be this host's fault.
+    /// Returns how long after the expiry of their leases tasks of silent workers are freed, since
+    /// the silence may be this host's fault.
     ///
     /// If most workers are silent at once, they are more likely slow to answer than gone, and their
     /// next answers report which runs are done. Waiting costs nothing, since freed tasks could only
@@ -94,14 +94,14 @@
         if extended { task_lease } else { time::Duration::ZERO }
     }
 
-    /// Returns whether at least half of the busy workers, and no fewer than `MANY_SILENT`, don't
-    /// answer.
+    /// Returns whether at least half of the busy workers, and no fewer than `MIN_MASS_SILENCE`,
+    /// don't answer.
     fn are_most_silent(&self) -> bool {
         let busy = self.views.values().filter(|view| view.listed && !view.tasks.is_empty());
         let (silent, all) = busy.fold((0, 0), |(silent, all), view| {
             (silent + usize::from(view.missed_heartbeats > 0), all + 1)
         });
-        silent >= MANY_SILENT && silent * 2 >= all
+        silent >= MIN_MASS_SILENCE && silent * 2 >= all
     }
 
     /// Frees inherited tasks on workers that are not listed, once the leases from earlier holders
@@ -125,6 +125,6 @@
 
     /// Returns when all leases that earlier holders granted have expired.
     pub(super) fn inherited_until(&self) -> time::Duration {
-        self.taken + worker::longest_by_holder_clock(self.inherited)
+        self.acquired + worker::longest_by_holder_clock(self.inherited)
     }
 }
--- a/crates/wharflane/src/job/members.rs
+++ b/crates/wharflane/src/job/members.rs
@@ -13,8 +13,8 @@
 pub(super) struct Members(collections::BTreeMap<id::WorkerId, order::Member>);
 
 impl Members {
-    /// Replaces all entries by a whole list, but keeps those of later incarnations.
-    pub fn list(&mut self, list: &[order::Member]) {
+    /// Replaces all entries with a complete list, except for entries of later incarnations.
+    pub fn replace_all(&mut self, list: &[order::Member]) {
         let before = std::mem::take(&mut self.0);
         for member in list {
             let worker = &member.incarnation.worker;
@@ -90,10 +90,13 @@
             listed.map(|(incarnation, _)| incarnation.clone()).collect();
         for incarnation in listed {
             if let Some(view) = self.views.get_mut(&incarnation) {
-                tracing::info!(worker = %incarnation, tasks = view.tasks.len(), "worker no longer listed");
+                tracing::info!(
+                    worker = %incarnation, tasks = view.tasks.len(),
+                    "worker no longer listed"
+                );
                 view.listed = false;
             }
-            self.count_lapsed_loss(&incarnation);
+            self.count_loss_after_expiry(&incarnation);
         }
     }
 
--- a/crates/wharflane/src/job/mod.rs
+++ b/crates/wharflane/src/job/mod.rs
@@ -37,7 +37,6 @@
 mod order;
 mod orders;
 mod outlook;
-mod pace;
 mod pass;
 mod pending;
 mod placement;
@@ -50,6 +49,7 @@
 mod slowness;
 mod spec;
 mod starvation;
+mod throttle;
 mod tickets;
 mod times;
 mod unlisted;
@@ -63,7 +63,7 @@
 pub use event::{Effect, Event, ProbeResult, Settings};
 pub use holding::{Dump, Holding};
 pub use order::{
-    EndKind, Ended, Heartbeat, HeartbeatAnswer, Lists, Member, Order, Pace, Running, Start,
+    EndKind, Ended, Heartbeat, HeartbeatAnswer, Lists, Member, Order, Running, SetShare, Start,
     StartAnswer, StartRefusal,
 };
 pub use progress::{Losses, Phase, Progress, Task, TaskPosition};
--- a/crates/wharflane/src/job/obstacle.rs
+++ b/crates/wharflane/src/job/obstacle.rs
@@ -29,14 +29,14 @@
     Interference,
 }
 
-/// Returns the first obstacle apart from reservations, tickets and interference. `takes` says
-/// whether the worker accepts new tasks of this kind at all.
+/// Returns the first obstacle other than reserved capacity, tickets and interference. `accepts`
+/// tells whether the worker's state permits the task.
 pub(super) fn plain(
     view: &worker::View,
     service: &id::ServiceId,
     task: spec::TaskId,
     step: &spec::Step,
-    takes: bool,
+    accepts: bool,
 ) -> Option<Obstacle> {
     if view.member.service != *service {
         return Some(Obstacle::Service);
@@ -47,7 +47,7 @@
     if view.closed {
         return Some(Obstacle::Closed);
     }
-    if !takes {
+    if !accepts {
         return Some(Obstacle::Unavailable);
     }
     if !step.reserved().fits(&view.free()) {
@@ -58,8 +58,8 @@
 
 /// Returns whether a worker may hold one more task of the step.
 fn has_place_left(view: &worker::View, task: spec::TaskId, step: &spec::Step) -> bool {
-    let Some(most) = step.max_per_worker else {
+    let Some(max) = step.max_per_worker else {
         return true;
     };
-    view.tasks.range(group::siblings(task)).count() < most as usize
+    view.tasks.range(group::siblings(task)).count() < max as usize
 }
--- a/crates/wharflane/src/job/order.rs
+++ b/crates/wharflane/src/job/order.rs
@@ -58,16 +58,16 @@
     pub ticket: String,
 }
 
-/// An order to throttle a task.
+/// An order to change the CPU share of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct SetShare {
     /// The addressee and the authority.
     pub order: Order,
     /// The CPU share of the task, from 0 to 100 percent.
     pub percent: u8,
 }
 
-/// The result of a start order.
+/// The answer to an order to start a task, or why there is none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartAnswer {
     /// The run exists on the worker.
@@ -99,8 +99,8 @@
     Other,
 }
 
-/// A heartbeat ("look") to a worker: renews the lease of its runs, acknowledges ends, and requests
-/// its running and ended runs.
+/// A heartbeat to a worker: renews the lease of its runs, acknowledges ends, and requests its
+/// running and ended runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
     /// The incarnation of the worker that is addressed.
@@ -109,8 +109,8 @@
     pub addr: net::SocketAddr,
     /// The fencing token: the holder's epoch, raised where needed.
     pub epoch: u64,
-    /// Ends up to this number are recorded, so the worker need not report them again.
-    pub seen: u64,
+    /// The last end that the worker may drop: the results of all ends up to it are committed.
+    pub acknowledged_end: u64,
     /// New end of the lease of its runs, by the worker's clock; `None` leaves the lease unchanged.
     pub lease_until_ms: Option<u64>,
     /// How long the worker may hold the answer back until a run ends.
--- a/crates/wharflane/src/job/orders.rs
+++ b/crates/wharflane/src/job/orders.rs
@@ -78,12 +78,12 @@
             placed.start_state = work::StartState::Unanswered(now + START_RETRY_DELAY);
             return;
         };
-        self.link.sent();
+        self.link.deduct_start();
         // An idle worker would get its next heartbeat much later.
         view.heartbeat_due = view.heartbeat_due.min(now + self.link.gap());
         placed.start_state = work::StartState::Ordered;
         placed.lease_until_ms = placed.lease_until_ms.max(lease_until_ms);
-        placed.doubt.fence = fence;
+        placed.start_orders.fence = fence;
         let Some(entry) = self.jobs.get(&task.job) else {
             return;
         };
@@ -166,7 +166,7 @@
     }
 
     /// Sends failed orders to stop again if they are due, unless the run has ended.
-    pub(super) fn repeat_stops(&mut self, now: time::Duration) {
+    pub(super) fn resend_stops(&mut self, now: time::Duration) {
         let due = self.stop_retries.iter().filter(|(_, at)| now >= **at);
         let due: Vec<spec::TaskId> = due.map(|(task, _)| *task).collect();
         for task in due {
@@ -175,14 +175,14 @@
                 continue;
             };
             placed.stopped = None;
-            // This is done even if heartbeats go unanswered: the order may arrive although its
-            // answer is lost like theirs.
+            // The stop is sent even if heartbeats go unanswered: it may arrive although its answer
+            // is lost, as those of the heartbeats are.
             self.stop(task, now);
         }
     }
 
     /// Sends unanswered orders to start again if they are due.
-    pub(super) fn repeat_orders(&mut self, now: time::Duration) {
+    pub(super) fn resend_starts(&mut self, now: time::Duration) {
         let due = self.placed.iter().filter(|(_, placed)| match placed.start_state {
             work::StartState::Unanswered(at) => now >= at,
             work::StartState::Expiring => true,
@@ -199,7 +199,7 @@
         let Some(placed) = self.placed.get(&task) else {
             return;
         };
-        let (worker, doubt) = (placed.worker.clone(), placed.doubt);
+        let (worker, start_orders) = (placed.worker.clone(), placed.start_orders);
         if self.is_start_abandoned(task) {
             return self.resolve_start(task, now);
         }
@@ -208,8 +208,11 @@
             return;
         };
         let barred = view.is_barred();
-        if doubt.unanswered >= MAX_UNANSWERED || !has_room || barred {
-            tracing::warn!(%task, %worker, doubt.unanswered, has_room, barred, "start abandoned");
+        if start_orders.unanswered >= MAX_UNANSWERED || !has_room || barred {
+            tracing::warn!(
+                %task, %worker, doubt.unanswered = start_orders.unanswered, has_room, barred,
+                "start abandoned"
+            );
             if !barred {
                 view.quarantine(now);
             }
@@ -226,7 +229,7 @@
         let Some(placed) = self.placed.get(&task) else {
             return;
         };
-        if placed.doubt.fence == 0 {
+        if placed.start_orders.fence == 0 {
             return self.free(task, "its start was never ordered");
         }
         let worker = placed.worker.clone();
@@ -294,7 +297,7 @@
             }
             order::StartAnswer::Refused(order::StartRefusal::Fenced) => self.fenced = true,
             order::StartAnswer::Refused(order::StartRefusal::Ticket) => {
-                self.tickets.refused(order.task, &order.worker);
+                self.tickets.remove_refused(order.task, &order.worker);
                 self.handle_refused_start(order.task);
             }
             order::StartAnswer::Refused(_) | order::StartAnswer::Unwell => {
@@ -304,7 +307,8 @@
                 self.handle_refused_start(order.task);
             }
             order::StartAnswer::Gone => {
-                let unanswered = self.placed.get(&order.task).map_or(0, |p| p.doubt.unanswered);
+                let unanswered =
+                    self.placed.get(&order.task).map_or(0, |p| p.start_orders.unanswered);
                 if unanswered == 0 {
                     // The addressed incarnation never received the order, so the task didn't cause
                     // its end.
@@ -318,7 +322,7 @@
                     work::StartState::Unanswered(now + START_RETRY_DELAY),
                 );
                 if let Some(placed) = self.placed.get_mut(&order.task) {
-                    placed.doubt.unanswered += 1;
+                    placed.start_orders.unanswered += 1;
                 }
             }
         }
@@ -326,7 +330,7 @@
 
     /// Frees a task whose start was refused, unless an earlier order may still be carried out.
     fn handle_refused_start(&mut self, task: spec::TaskId) {
-        let unanswered = self.placed.get(&task).is_some_and(|p| p.doubt.unanswered > 0);
+        let unanswered = self.placed.get(&task).is_some_and(|p| p.start_orders.unanswered > 0);
         if unanswered {
             tracing::info!(
                 %task, "start refused, but an earlier unanswered order may still be carried out"
--- a/crates/wharflane/src/job/outlook.rs
+++ b/crates/wharflane/src/job/outlook.rs
@@ -5,8 +5,7 @@
 use super::times;
 use super::work;
 
-/// A round that ends within this many times its allowed time counts as late, a slower one as
-/// missed.
+/// Factor of the allowed time within which a round counts as late; a slower one counts as missed.
 const MAX_LATE_FACTOR: f64 = 3.0;
 
 /// How the expected end of a round compares with the time that its queue allows.
@@ -58,7 +57,7 @@
 /// Returns the expected run time of a step's tasks, in milliseconds: the average of its finished
 /// runs, or else what is learned of its queue.
 fn expected_ms(entry: &work::Entry, at: u32, step: &spec::Step, times: &times::Times) -> f64 {
-    match entry.taken.get(&at) {
+    match entry.run_times.get(&at) {
         Some(taken) if taken.runs > 0 => taken.total.as_secs_f64() * 1e3 / f64::from(taken.runs),
         _ => times.expect_ms(&entry.job.queue, step.estimate_ms),
     }
--- a/crates/wharflane/src/job/pass.rs
+++ b/crates/wharflane/src/job/pass.rs
@@ -1,8 +1,7 @@
-//! What one placement pass has found out, which keeps its cost independent of the number of waiting
-//! tasks.
+//! Findings of one placement pass, which keep its cost independent of the number of waiting tasks.
 //!
-//! A pass only takes capacity away. So once a kind of task finds no worker, no task of that kind
-//! and at least that size finds one later in the same pass. Some 230 searches per pass were counted
+//! Free capacity only shrinks during a pass. So once a task finds no worker, no task of the same
+//! kind and at least its size finds one later in the pass. Some 230 searches per pass were counted
 //! with 3,000 to 4,000 waiting tasks on 490 workers, by the figures `sought` and `commits` in the
 //! log.
 
@@ -14,7 +13,7 @@
 use crate::id;
 use crate::size;
 
-/// What decides which workers can take a task, apart from its size.
+/// The properties of a task, other than its size, that determine which workers can run it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Kind {
     /// The service whose workers run it.
@@ -40,7 +39,7 @@
 }
 
 impl Pass {
-    /// Returns whether a task can't find a worker in the rest of this pass.
+    /// Returns whether a task can no longer find a worker in this pass.
     pub fn is_unplaceable(
         &self,
         service: &id::ServiceId,
--- a/crates/wharflane/src/job/pending.rs
+++ b/crates/wharflane/src/job/pending.rs
@@ -2,13 +2,13 @@
 
 use std::time;
 
-use super::rows as kept;
+use super::rows as job_rows;
 use super::spec;
 use crate::id;
 use crate::rows;
 
 /// Maximum number of jobs in one commit; the limits on rows and bytes are reached earlier.
-pub(super) const MOST_JOBS: usize = 100;
+pub(super) const MAX_COMMIT_JOBS: usize = 100;
 
 /// A transaction whose outcome is unknown.
 #[derive(Debug)]
@@ -18,11 +18,11 @@
     /// The transaction; it may only be sent again unchanged.
     pub txn: rows::Txn,
     /// The lease that it writes.
-    pub lease: kept::Lease,
+    pub lease: job_rows::Lease,
     /// When it was first sent, which is when the renewed lease begins.
     pub sent: time::Duration,
     /// When to send it again; `None` while an answer is awaited.
-    pub again: Option<time::Duration>,
+    pub resend_at: Option<time::Duration>,
     /// The jobs whose progress it writes.
     pub jobs: Vec<spec::JobId>,
     /// Whether it contains optional writes, such as the learned state.
@@ -49,13 +49,13 @@
 impl Default for CommitLimits {
     fn default() -> Self {
         let (extras_from, counts_from) = (time::Duration::ZERO, time::Duration::ZERO);
-        Self { jobs: MOST_JOBS, extras_from, counts_from }
+        Self { jobs: MAX_COMMIT_JOBS, extras_from, counts_from }
     }
 }
 
 impl CommitLimits {
     /// Relaxes the limit on jobs after a successful commit.
-    pub fn taken(&mut self) {
-        self.jobs = (self.jobs * 2).min(MOST_JOBS);
+    pub fn relax(&mut self) {
+        self.jobs = (self.jobs * 2).min(MAX_COMMIT_JOBS);
     }
 }
--- a/crates/wharflane/src/job/placement.rs
+++ b/crates/wharflane/src/job/placement.rs
@@ -50,7 +50,7 @@
 enum Precedence {
     /// A long-running task that has run before and has been without a worker for some time.
     Returning,
-    /// A batch task: someone waits for its end, and its capacity soon becomes free again.
+    /// A batch task: its caller waits for its end, and its capacity soon becomes free again.
     Batch(outlook::Outlook),
     /// A long-running task that is new or has been without a worker only briefly.
     LongRunning,
@@ -90,7 +90,7 @@
     group: Group,
     now: time::Duration,
 ) {
-    if holding.is_aside(group.first.task.job) {
+    if holding.is_set_aside(group.first.task.job) {
         return;
     }
     let Some(job) = active_job(holding, group.first.task.job) else {
@@ -171,7 +171,7 @@
     groups
 }
 
-/// Returns the groups of waiting tasks, by ID. Batch tasks of a group are alike in all that matters
+/// Returns the groups of waiting tasks, by id. Batch tasks of a group are alike in all that matters
 /// here, so the first represents them all. Long-running ones are split by how long they have been
 /// without a worker.
 fn groups(holding: &holding::Holding, now: time::Duration) -> Vec<Group> {
@@ -214,12 +214,13 @@
 /// Reserves the free capacity of one worker for a long-running task, since batch tasks would
 /// otherwise take every piece of it.
 ///
-/// A worker where enough capacity becomes free when batch tasks end is preferred. Otherwise the
-/// worker with the most free CPU might be reserved, whose capacity beside long-running tasks stays
-/// just too small: after the loss of two racks and a quarter of 490 workers, returning tasks waited
-/// for 17 s, where 6 s are allowed. If long-running tasks hold nearly everything, there is no such
-/// worker, and the largest free capacity grows as they are cancelled: without any reservation, a
-/// task waited for 21 s on 58 workers of which they held 94 %.
+/// A worker where enough capacity becomes free when batch tasks end is preferred. Without this
+/// preference, the worker with the most free CPU might be reserved although its capacity beside
+/// long-running tasks stays just too small: after the loss of two racks and a quarter of 490
+/// workers, returning tasks waited for 17 s, where 6 s are allowed. If long-running tasks hold
+/// nearly all capacity, there is no such worker, and the largest free capacity grows only as they
+/// are cancelled: without any reservation, a task waited for 21 s on 58 workers of which
+/// long-running tasks held 94 %.
 fn reserve_capacity(
     holding: &mut holding::Holding,
     task: spec::TaskId,
@@ -238,7 +239,7 @@
         .values()
         .filter(|view| !holding.reserved_workers.contains(&view.member.incarnation))
         .filter(|view| {
-            obstacle::plain(view, service, task, step, view.takes(task, now))
+            obstacle::plain(view, service, task, step, view.accepts(task, now))
                 == Some(obstacle::Obstacle::Room)
         })
         .max_by_key(|view| (step.reserved().fits(&view.free_in_time()), view.free().cpu_milli));
@@ -266,7 +267,7 @@
 
 /// Returns a job if it is active.
 fn active_job(holding: &holding::Holding, job: spec::JobId) -> Option<sync::Arc<spec::Job>> {
-    let entry = holding.jobs.get(&job).filter(|entry| entry.active())?;
+    let entry = holding.jobs.get(&job).filter(|entry| entry.is_active())?;
     Some(sync::Arc::clone(&entry.job))
 }
 
@@ -313,9 +314,9 @@
     true
 }
 
-/// Searches a worker for one task of a group by the group's ranking. A task is searched for alone
-/// if it differs from its siblings by a worker where it failed or that was lost under it, or if it
-/// attracts its siblings to its rack.
+/// Searches a worker for one task of a group by the group's ranking. A task gets a search of its
+/// own if it differs from its siblings by a worker where it failed or that was lost under it, or if
+/// its rack is preferred for its siblings.
 fn choose_worker(
     holding: &mut holding::Holding,
     ranking: &mut Option<ranking::Ranking>,
--- a/crates/wharflane/src/job/progress.rs
+++ b/crates/wharflane/src/job/progress.rs
@@ -45,7 +45,7 @@
 }
 
 impl TaskPosition {
-    /// Returns the ID of the task at this position in a job.
+    /// Returns the id of the task at this position in a job.
     #[must_use]
     pub fn of(self, job: spec::JobId) -> spec::TaskId {
         spec::TaskId { job, round: self.round, step: self.step, index: self.index }
@@ -58,15 +58,19 @@
     }
 }
 
-/// The workers that were lost under a task since it last worked for long.
+/// The numbers of workers that were lost under a task since a run of it last lasted for
+/// `crash::FORGIVEN_AFTER`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Losses {
-    /// Workers that the task may have crashed by starting, since it was not seen working there for
-    /// a while.
+    /// Workers that the start of the task may have crashed, since the task was not reported running
+    /// there for long enough.
     pub suspected: u32,
-    /// Those of `suspected` on which nothing else can have caused the crash.
-    pub alone: u32,
-    /// Workers on which the task and everything else had been working for a while.
+    /// Those of `suspected` where the task was the only suspect and nothing else can have caused
+    /// the crash.
+    #[serde(rename = "alone")]
+    pub sole_suspect: u32,
+    /// Workers on which the task had been running for long enough, so that its start didn't cause
+    /// the crash.
     pub unexplained: u32,
 }
 
@@ -83,7 +87,7 @@
     /// The last run whose worker was lost.
     #[serde(rename = "l")]
     pub lost: u32,
-    /// The last run that was seen working for a while.
+    /// The last run that was reported running for long enough to be cleared of suspicion.
     #[serde(rename = "w")]
     pub at_work: u32,
     /// The number of runs since the third loss that neither completed nor ended with their worker.
@@ -103,7 +107,8 @@
 pub struct Task {
     /// The number of the last run.
     pub run: u32,
-    /// The runs that failed. As a set it counts each once, in whatever order holders learn of them.
+    /// The runs that failed. A set counts each of them once, in whichever order holders learn of
+    /// them.
     pub failed_runs: collections::BTreeSet<u32>,
     /// The worker incarnation on which it may run.
     pub worker: Option<id::Incarnation>,
@@ -133,7 +138,7 @@
         self.done || !self.failed_runs.is_empty() || !self.checkpoint.is_empty()
     }
 
-    /// Returns whether only the last start is known of the task.
+    /// Returns whether the last start is all that is known of the task.
     fn has_only_started(&self) -> bool {
         self.failed_runs.is_empty() && self.checkpoint.is_empty() && self.losses.is_none()
     }
@@ -180,7 +185,7 @@
 /// worker name (200 bytes) and the longest checkpoint, and a row of the store holds 48 KiB.
 const TASKS_PER_ROW: u64 = 100;
 /// Maximum number of progress rows of one job, from the maximum number of tasks.
-pub(super) const MOST_ROWS: u32 = (spec::MAX_TASKS / TASKS_PER_ROW) as u32;
+pub(super) const MAX_PROGRESS_ROWS: u32 = (spec::MAX_TASKS / TASKS_PER_ROW) as u32;
 /// Maximum length of a checkpoint, in bytes; those of the platform's workers have 16.
 const MAX_CHECKPOINT_BYTES: usize = 160;
 
--- a/crates/wharflane/src/job/queue.rs
+++ b/crates/wharflane/src/job/queue.rs
@@ -38,8 +38,8 @@
 }
 
 impl Queues {
-    /// Returns the queue for a request and the rest of the path after its prefix. The longest
-    /// matching prefix wins.
+    /// Returns the queue for a request and the path after the queue's prefix. The longest matching
+    /// prefix wins.
     #[must_use]
     pub fn route<'a>(&self, host: &str, path: &'a str) -> Option<(&Queue, &'a str)> {
         let host = host.split(':').next().unwrap_or(host);
--- a/crates/wharflane/src/job/ranking.rs
+++ b/crates/wharflane/src/job/ranking.rs
@@ -20,7 +20,7 @@
 struct Candidate {
     /// The cost at the time of the evaluation.
     cost: choose::Cost,
-    /// The worker; among equal costs the smallest ID comes first.
+    /// The worker; among equal costs the smallest id comes first.
     worker: id::Incarnation,
 }
 
--- a/crates/wharflane/src/job/refused.rs
+++ b/crates/wharflane/src/job/refused.rs
@@ -1,9 +1,10 @@
 //! Handles commits that the store refuses for good, so that one bad row doesn't stop the whole
 //! domain.
 //!
-//! The same commit is never sent again. Optional rows are left out first; then the commit is halved
-//! until the job at fault is alone, and that job is set aside: none of its tasks start, its ends
-//! stay unacknowledged at their workers, and its progress is tried again from time to time.
+//! The same commit is never sent again. Optional rows are left out first. Then the number of jobs
+//! is halved until a commit contains only the job at fault, and that job is set aside: none of its
+//! tasks starts, its ends stay unacknowledged at their workers, and its progress is retried at
+//! intervals.
 
 use std::time;
 
@@ -20,8 +21,8 @@
 const JOB_RETRY: time::Duration = time::Duration::from_secs(10);
 
 impl holding::Holding {
-    /// Takes back a commit that the store refused for good, and makes the next one differ from it.
-    pub(super) fn commit_refused(&mut self, pending: pending::Pending, now: time::Duration) {
+    /// Reverts a commit that the store refused for good, and tightens the limits of the next one.
+    pub(super) fn handle_refused_commit(&mut self, pending: pending::Pending, now: time::Duration) {
         let longest = pending.txn.writes.iter().max_by_key(|write| length(write));
         let longest_bytes = longest.map_or(0, length);
         tracing::error!(
@@ -33,7 +34,7 @@
             extras = pending.extras,
             "the store refuses a commit for good"
         );
-        let alone = match pending.jobs.as_slice() {
+        let only_job = match pending.jobs.as_slice() {
             [job] if !pending.extras => Some(*job),
             _ => None,
         };
@@ -47,14 +48,14 @@
         // Counts are only useful while fresh, so those of the refused commit are due again with the
         // next one.
         self.counted_at = time::Duration::ZERO;
-        self.put_back(pending);
-        if let Some(job) = alone {
+        self.restore_changes(pending);
+        if let Some(job) = only_job {
             self.set_aside(job, now);
         }
     }
 
     /// Makes all changes of a commit due again for the next one.
-    fn put_back(&mut self, pending: pending::Pending) {
+    fn restore_changes(&mut self, pending: pending::Pending) {
         for write in &pending.txn.writes {
             if let Some((job, row)) = job_rows::progress_row(&write.key.name)
                 && let Some(entry) = self.jobs.get_mut(&job)
@@ -82,7 +83,7 @@
             entry.set_aside = Some(now);
         }
         self.dirty.retain(|dirty| *dirty != job);
-        self.commit_limits.jobs = pending::MOST_JOBS;
+        self.commit_limits.jobs = pending::MAX_COMMIT_JOBS;
         let staged: Vec<spec::TaskId> =
             self.staged.iter().copied().filter(|task| task.job == job).collect();
         for task in staged {
@@ -91,11 +92,11 @@
     }
 
     /// Resumes jobs that were set aside for `JOB_RETRY`.
-    pub(super) fn take_up_again(&mut self, now: time::Duration) {
-        let old = self.jobs.iter_mut().filter(|(_, entry)| {
+    pub(super) fn retry_set_aside_jobs(&mut self, now: time::Duration) {
+        let due = self.jobs.iter_mut().filter(|(_, entry)| {
             entry.set_aside.is_some_and(|since| now.saturating_sub(since) >= JOB_RETRY)
         });
-        for (job, entry) in old {
+        for (job, entry) in due {
             let aside_ms = entry.set_aside.map_or(0, |since| worker::millis(now - since));
             tracing::info!(%job, aside_ms, "job resumed after it was set aside");
             entry.set_aside = None;
@@ -107,7 +108,7 @@
     }
 
     /// Returns whether a job is set aside, so that none of its tasks may start.
-    pub(super) fn is_aside(&self, job: spec::JobId) -> bool {
+    pub(super) fn is_set_aside(&self, job: spec::JobId) -> bool {
         self.jobs.get(&job).is_some_and(|entry| entry.set_aside.is_some())
     }
 }
--- a/crates/wharflane/src/job/retry_after.rs
+++ b/crates/wharflane/src/job/retry_after.rs
@@ -1,14 +1,15 @@
 //! Chooses the `Retry-After` of calls that could not be carried out.
 //!
 //! A caller has only a few seconds. If the delay is too long, the call fails for good; if it is the
-//! same for all callers, they return at once. What a host knows of the cause decides:
+//! same for all callers, they all return at the same time. The delay depends on the cause, as far
+//! as this host knows it:
 //!
 //! - No configuration yet (503): nothing was sent. The delay is 1 s, since this host has just
 //!   started, others have a configuration, and one more refusal costs the store nothing.
 //! - Store silent (503): nothing was sent, or only a read. The delay is 1 s at first, then up to a
 //!   bound that grows with the outage.
-//! - Store rejected the call (503): it had no effect, as the store says. The delay is 1 or 2 s at
-//!   first, then as above.
+//! - Store rejected the call (503): the call had no effect, as the store reports. The delay is 1 or
+//!   2 s at first, then as above.
 //! - No answer to a write (504): it may take effect, now or later. The delay is 1 s, since the same
 //!   call then reads its row and reports the result.
 //! - Row or count unknown (503): nothing was to be changed. The delay is 1 s, since counts are
@@ -32,14 +33,14 @@
 use std::time;
 
 /// Shortest delay, since the header has whole seconds.
-pub const LEAST: time::Duration = time::Duration::from_secs(1);
+pub const MIN_DELAY: time::Duration = time::Duration::from_secs(1);
 /// Longest delay: as long as callers commonly wait in total.
-pub const MOST: time::Duration = time::Duration::from_secs(3);
+pub const MAX_DELAY: time::Duration = time::Duration::from_secs(3);
 /// Duration of an outage for which the bound grows by one second. A host replaces its own silent
 /// connections within 1.5 s, so a longer outage is not caused by these.
 const GROWTH_INTERVAL: time::Duration = time::Duration::from_secs(2);
 /// Initial bound, in seconds, for callers of a store that rejects calls: the smallest that spreads
-/// them.
+/// their retries.
 const MIN_BUSY_BOUND_SECS: u64 = 2;
 
 /// Why a call could not be carried out.
@@ -72,11 +73,11 @@
 
     /// Returns the upper bound of the delay in seconds, for a store that has failed for `lasted`.
     fn max_secs(self, lasted: time::Duration) -> u64 {
-        let grown = LEAST.as_secs() + lasted.as_secs() / GROWTH_INTERVAL.as_secs();
+        let grown = MIN_DELAY.as_secs() + lasted.as_secs() / GROWTH_INTERVAL.as_secs();
         match self {
-            Self::NoConfiguration | Self::InDoubt | Self::NotKnown => LEAST.as_secs(),
-            Self::StoreSilent => grown.min(MOST.as_secs()),
-            Self::StoreBusy => grown.clamp(MIN_BUSY_BOUND_SECS, MOST.as_secs()),
+            Self::NoConfiguration | Self::InDoubt | Self::NotKnown => MIN_DELAY.as_secs(),
+            Self::StoreSilent => grown.min(MAX_DELAY.as_secs()),
+            Self::StoreBusy => grown.clamp(MIN_BUSY_BOUND_SECS, MAX_DELAY.as_secs()),
         }
     }
 }
@@ -87,7 +88,7 @@
 /// caller's remaining time, and `draw` is a random number that spreads the callers.
 #[must_use]
 pub fn of(cause: Cause, lasted: time::Duration, left: time::Duration, draw: u64) -> time::Duration {
-    let shortest = LEAST.as_secs();
+    let shortest = MIN_DELAY.as_secs();
     let longest = cause.max_secs(lasted).min(left.as_secs()).max(shortest);
     time::Duration::from_secs(shortest + draw % (longest - shortest + 1))
 }
--- a/crates/wharflane/src/job/rows.rs
+++ b/crates/wharflane/src/job/rows.rs
@@ -2,8 +2,8 @@
 //!
 //! All rows that a holder writes share one partition of the store, so that each of its writes can
 //! be conditional on the lease row. Accepted jobs are in partitions of their own, because the store
-//! applies the writes of a partition one after the other, and callers' writes would wait behind the
-//! holder's and each other's. Every partition follows from the job's name alone.
+//! applies the writes of a partition one after the other: in one partition, callers' writes would
+//! wait for the holder's and for each other. Every partition follows from the job's name alone.
 
 use std::net;
 use std::time;
@@ -28,7 +28,7 @@
 /// The table of data that holders have learned.
 pub const LEARNED: &str = "learned";
 /// The number of partitions for the accepted jobs of one domain, since the store applies the writes
-/// of one partition in turn.
+/// of one partition one after the other.
 const JOB_PARTITIONS: u64 = 8;
 /// The distance between the epochs of two holders. The offset by which a holder raises the fence of
 /// a single worker, once per abandoned start without an answer, stays below it.
@@ -88,7 +88,7 @@
 pub(super) fn progress_row(name: &str) -> Option<(spec::JobId, u32)> {
     match name.split_once('.') {
         Some((job, row)) => {
-            let row = row.parse().ok().filter(|row| *row < progress::MOST_ROWS)?;
+            let row = row.parse().ok().filter(|row| *row < progress::MAX_PROGRESS_ROWS)?;
             Some((job.parse().ok()?, row))
         }
         None => Some((name.parse().ok()?, 0)),
--- a/crates/wharflane/src/job/slowness.rs
+++ b/crates/wharflane/src/job/slowness.rs
@@ -1,8 +1,8 @@
 //! Distinguishes a host that has become slow from one that is merely busy.
 //!
-//! On both, events queue up. A busy host handles as many events per second as ever, a slow one
-//! fewer than while nothing queued. Only a slow host gives up its domain, since the next holder of
-//! a busy domain would be just as busy.
+//! On both, events queue up. A busy host handles as many events per second as usual, a slow one
+//! fewer than it did while no events queued up. Only a slow host gives up its domain, since the
+//! next holder of a busy domain would be just as busy.
 
 use std::time;
 
--- a/crates/wharflane/src/job/spec.rs
+++ b/crates/wharflane/src/job/spec.rs
@@ -15,14 +15,14 @@
 /// Maximum number of tasks of a job over all steps and rounds, which keeps its progress within one
 /// transaction of the store.
 pub const MAX_TASKS: u64 = 1_000;
-/// Number of hexadecimal digits of a job ID.
+/// Number of hexadecimal digits of a job id.
 const ID_DIGITS: usize = 16;
 
-/// The ID of a job, chosen by its caller.
+/// The id of a job, chosen by its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
-/// The error for a text that is not a job ID.
+/// The error for a text that is not a job id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a job's name is 16 lower-case hexadecimal digits")]
 pub struct BadJobId;
@@ -45,7 +45,7 @@
     }
 }
 
-/// The ID of a task.
+/// The id of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     /// The job to which the task belongs.
@@ -58,7 +58,7 @@
     pub index: u32,
 }
 
-/// The error for a text that is not a task ID.
+/// The error for a text that is not a task id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a task's name reads job.round.step.index")]
 pub struct BadTaskId;
@@ -164,7 +164,7 @@
         bytes: usize,
     },
     /// The job is too long for a row of the store.
-    #[error("the job takes {bytes} bytes to keep, more than {most}")]
+    #[error("the job is {bytes} bytes long in stored form, more than {most}")]
     TooLong {
         /// Its length in stored form.
         bytes: usize,
@@ -172,7 +172,7 @@
         most: usize,
     },
     /// The store will never accept the job's row, for a reason of its own.
-    #[error("the store does not take the job's row")]
+    #[error("the store does not accept the job's row")]
     NotKept,
     /// The job has no steps.
     #[error("a job needs at least one step")]
