--- a/crates/wharflane/src/job/starvation.rs
+++ b/crates/wharflane/src/job/starvation.rs
@@ -1,7 +1,7 @@
-//! Starts a task of a starving job: one that gets no worker although most of its service is idle.
+//! Starts tasks of starving jobs, which get no worker although most of their service is idle.
 //!
 //! Learned interference may be wrong, and nothing corrects it while the image does not run.
-//! Quarantines and reserved capacity are preferences only. None of these may keep a job from all
+//! Quarantines and reserved capacity are only preferences. None of these may keep a job from all
 //! workers for longer than a bounded time.
 
 use std::cmp;
@@ -28,10 +28,10 @@
 /// CPU use of a service, in percent, from which on waiting tasks don't count as starving; given by
 /// the requirement.
 const BUSY_PERCENT: u64 = 50;
-/// Lowest share at which a starving task runs, in percent, so that its strain can be told from
-/// noise.
+/// Lowest share at which a starving task runs, in percent, so that its strain can be distinguished
+/// from noise.
 const MIN_SHARE_PERCENT: f64 = 10.0;
-/// One worker in this many may hold a task that was started throttled, so that this stays the
+/// One worker in this many may hold a task that was started throttled, so that such starts stay the
 /// exception and the other workers show the image's interference.
 const WORKERS_PER_THROTTLED: usize = 8;
 /// Maximum number of starving tasks per pass for which a worker is searched; each search evaluates
@@ -118,9 +118,9 @@
 /// Returns whether one more task or gang of a step may be started throttled.
 fn may_throttle(holding: &holding::Holding, step: &spec::Step) -> bool {
     let filling = holding.views.values().flat_map(|view| view.filling.values());
-    let eased = filling.filter(|filling| filling.started_throttled).count();
+    let throttled = filling.filter(|filling| filling.started_throttled).count();
     let members = if step.gang { step.count as usize } else { 1 };
-    eased == 0 || eased + members <= holding.views.len() / WORKERS_PER_THROTTLED
+    throttled == 0 || throttled + members <= holding.views.len() / WORKERS_PER_THROTTLED
 }
 
 /// Starts a starving task or its whole gang; returns whether workers were found.
@@ -157,7 +157,7 @@
     reserved: bool,
     /// The number of its tasks that were started throttled.
     throttled: usize,
-    /// The fraction of the task that its serving tasks can't bear.
+    /// The fraction of the task that its serving tasks can't tolerate.
     excess: f64,
     /// The fraction of its CPU in use.
     cpu_used: f64,
@@ -180,7 +180,7 @@
     let failed_worker = state.and_then(|state| state.failed_on.as_ref());
     let strains = choose::best_effort_strains(holding, step, image);
     let obstacle_at = |view: &worker::View| {
-        obstacle::plain(view, service, task, step, view.takes_in_need(task, now))
+        obstacle::plain(view, service, task, step, view.accepts_starving(task, now))
             .or_else(|| holding.ticket_obstacle(&entry.job, task, &view.member.incarnation, now))
     };
     let evaluate = |view: &worker::View| {
@@ -217,21 +217,21 @@
         quarantined: view.is_quarantined(now),
         reserved: holding.reserved_workers.contains(&view.member.incarnation),
         throttled: view.filling.values().filter(|filling| filling.started_throttled).count(),
-        excess: if step.fills { 1.0 - bearable_fraction(left) } else { 0.0 },
+        excess: if step.fills { 1.0 - tolerable_fraction(left) } else { 0.0 },
         cpu_used: view.part(view.at_work_milli()),
     }
 }
 
-/// Returns the fraction of a task that serving tasks can bear, from the headroom of each and the
-/// strain of the whole task on it.
-fn bearable_fraction(left: impl Iterator<Item = (f64, f64)>) -> f64 {
+/// Returns the fraction of a task that serving tasks can tolerate, from the headroom of each and
+/// the strain of the whole task on it.
+fn tolerable_fraction(left: impl Iterator<Item = (f64, f64)>) -> f64 {
     let shares = left.map(
         |(left, strain)| if strain > 0.0 { left / (strain * choose::PEAK_FACTOR) } else { 1.0 },
     );
     shares.fold(1.0, f64::min)
 }
 
-/// Throttles a starving task from its start, down to the fraction that its neighbours can bear.
+/// Throttles a starving task from its start, down to the fraction that its neighbours can tolerate.
 fn throttle(
     holding: &mut holding::Holding,
     ready: &work::Ready,
@@ -244,8 +244,8 @@
     let Some(view) = holding.views.get(&worker) else {
         return;
     };
-    let (strain, room, bearable_fraction) = strain_and_headroom(holding, view, ready.task, now);
-    let percent = (bearable_fraction * 1e2).clamp(MIN_SHARE_PERCENT, 1e2) as u8;
+    let (strain, room, tolerable_fraction) = strain_and_headroom(holding, view, ready.task, now);
+    let percent = (tolerable_fraction * 1e2).clamp(MIN_SHARE_PERCENT, 1e2) as u8;
     holding.starvation_starts += 1;
     tracing::info!(
         task = %ready.task,
@@ -264,14 +264,14 @@
     if let Some(filling) = view.and_then(|view| view.filling.get_mut(&ready.task)) {
         filling.percent = percent;
         filling.started_throttled = percent < 100;
-        filling.paced |= filling.started_throttled;
+        filling.was_throttled |= filling.started_throttled;
         filling.share_unsent = filling.started_throttled;
     }
     holding.refresh_headroom_of(&worker, now);
 }
 
 /// Returns the greatest strain of a placed task on its neighbours, their least headroom without it,
-/// and the fraction of the task that they can bear.
+/// and the fraction of the task that they can tolerate.
 fn strain_and_headroom(
     holding: &holding::Holding,
     view: &worker::View,
@@ -290,5 +290,5 @@
     let neighbours: Vec<(f64, f64)> = neighbours.collect();
     let strain = neighbours.iter().map(|(_, strain)| *strain).fold(0.0, f64::max);
     let room = neighbours.iter().map(|(left, _)| *left).fold(1.0, f64::min);
-    (strain, room, bearable_fraction(neighbours.into_iter()))
+    (strain, room, tolerable_fraction(neighbours.into_iter()))
 }
--- a/crates/wharflane/src/job/pace.rs
+++ b/crates/wharflane/src/job/throttle.rs
@@ -13,9 +13,9 @@
 use super::worker;
 use crate::id;
 
-/// Strain that is kept free below a target, since figures are imprecise and loads rise meanwhile.
-/// While best-effort tasks wait for workers it applies to placement only, and running tasks are
-/// throttled only for a missed target.
+/// Strain that is left free below a target, since figures are imprecise and loads may rise
+/// meanwhile. While best-effort tasks wait for workers it applies to placement only, and running
+/// tasks are throttled only for a missed target.
 pub(super) const STRAIN_MARGIN: f64 = 0.05;
 /// Strain that must be free beyond the margin before throttled tasks get a larger share.
 pub(super) const RAISE_SLACK: f64 = 0.04;
@@ -34,9 +34,8 @@
 const UNTHROTTLED_USE_PERCENT: u64 = 60;
 /// Strain below which throttling a task has no effect that a tail latency would show.
 const MIN_STRAIN: f64 = 0.01;
-/// How long a target may be missed before all best-effort tasks of the worker are stopped from
-/// using CPU, regardless of the model. The requirement allows 4 s, and a change takes up to 1.2 s
-/// to show.
+/// How long a target may be missed until all best-effort tasks of the worker get a share of zero,
+/// whatever the model predicts. The requirement allows 4 s, and a change takes up to 1.2 s to show.
 const MAX_MISS_DURATION: time::Duration = time::Duration::from_millis(1_900);
 /// Largest increase of a share at a time, in percent.
 const MAX_RAISE_PERCENT: f64 = 60.0;
@@ -91,7 +90,7 @@
         let Some(view) = self.views.get(worker) else {
             return;
         };
-        if view.filling.is_empty() || now.saturating_sub(view.paced) < SETTLE_TIME {
+        if view.filling.is_empty() || now.saturating_sub(view.share_changed) < SETTLE_TIME {
             return;
         }
         let shares = if self.misses_too_long(worker, now) {
@@ -106,7 +105,7 @@
     }
 
     /// Sets the shares of tasks that an earlier holder started, based on their CPU use: what it
-    /// throttled stays throttled, whichever of its orders arrived.
+    /// throttled stays throttled, regardless of which of its orders arrived.
     pub(super) fn adopt_shares(
         &mut self,
         worker: &id::Incarnation,
@@ -291,7 +290,7 @@
             }
             tracing::info!(%task, %worker, from = filling.percent, to = share.percent, "paced");
             filling.percent = share.percent;
-            filling.paced |= share.percent < 100;
+            filling.was_throttled |= share.percent < 100;
             filling.low_since = if share.percent < MOVE_BELOW_PERCENT {
                 filling.low_since.or(Some(now))
             } else {
@@ -299,7 +298,7 @@
             };
             filling.started_throttled &= share.percent < 100;
             filling.share_unsent = true;
-            view.paced = now;
+            view.share_changed = now;
         }
         self.send_shares(worker, now);
     }
@@ -319,10 +318,10 @@
                 continue;
             };
             filling.share_unsent = false;
-            view.paced = now;
+            view.share_changed = now;
             let order = work::order_for(placed, view.member.addr, *task, epoch);
-            let pace = order::Pace { order, percent: filling.percent };
-            self.out.push(event::Effect::Pace(pace));
+            let change = order::SetShare { order, percent: filling.percent };
+            self.out.push(event::Effect::SetShare(change));
         }
     }
 
--- a/crates/wharflane/src/job/tickets.rs
+++ b/crates/wharflane/src/job/tickets.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advice {
     /// The accepted workers, each with its ticket.
-    pub good: Vec<(id::Incarnation, String)>,
+    pub accepted: Vec<(id::Incarnation, String)>,
     /// How long the tickets are valid.
     pub valid: time::Duration,
 }
@@ -102,7 +102,7 @@
     }
 
     /// Drops a ticket that a worker refused.
-    pub fn refused(&mut self, task: spec::TaskId, worker: &id::Incarnation) {
+    pub fn remove_refused(&mut self, task: spec::TaskId, worker: &id::Incarnation) {
         if let Some(step_tickets) = self.steps.get_mut(&group::group(task)) {
             step_tickets.accepted.remove(worker);
         }
--- a/crates/wharflane/src/job/times.rs
+++ b/crates/wharflane/src/job/times.rs
@@ -1,15 +1,14 @@
 //! Predicts run times of tasks: callers' estimates, corrected by the observed runs of their queue.
 //!
-//! Per queue, the logarithm of the run time is fitted to the logarithm of the estimate. Where
-//! estimates say little, the prediction leans on the mean of the queue; where they are good, on the
-//! estimate.
+//! Per queue, the logarithm of the run time is fitted to the logarithm of the estimate. The less
+//! estimates correlate with run times, the closer the prediction is to the mean of the queue.
 
 use std::collections;
 use std::time;
 
 use serde::{Deserialize, Serialize};
 
-/// Weight of the prior trust in callers' estimates, in runs.
+/// Weight of the prior, which follows the callers' estimates, in runs.
 const PRIOR_RUNS: f64 = 6.0;
 /// Variance of the logarithm of estimates that the prior assumes: a factor of two.
 const PRIOR_VARIANCE: f64 = 0.5;
@@ -20,7 +19,8 @@
 const MAX_QUEUES: usize = 200;
 /// Maximum length of the name of a queue with learned run times, in bytes.
 const MAX_NAME_BYTES: usize = 70;
-/// Weight of a run relative to the next one; the fit forgets over some thousand runs.
+/// Weight of a run relative to the next one; older runs lose their weight over some thousand newer
+/// ones.
 const FORGETTING_FACTOR: f64 = 0.999;
 
 /// Weighted sums over the runs of one queue, of logarithms of milliseconds.
@@ -82,8 +82,8 @@
         let prior = PRIOR_RUNS * PRIOR_VARIANCE;
         let slope = ((covariance + prior) / (variance + prior)).clamp(0.0, 1.0);
         // The mean of the queue counts in proportion to the observed runs.
-        let seen = sums.runs / (sums.runs + PRIOR_RUNS);
-        let shift = (mean_taken - mean_guess) * seen;
+        let confidence = sums.runs / (sums.runs + PRIOR_RUNS);
+        let shift = (mean_taken - mean_guess) * confidence;
         (mean_guess + shift + slope * (guess - mean_guess)).exp()
     }
 }
@@ -97,7 +97,7 @@
     }
 }
 
-/// Returns the logarithm of a number of milliseconds, which is taken to be at least one.
+/// Returns the logarithm of a number of milliseconds, raised to at least one.
 fn log_ms(ms: f64) -> f64 {
     ms.max(1.0).ln()
 }
--- a/crates/wharflane/src/job/unlisted.rs
+++ b/crates/wharflane/src/job/unlisted.rs
@@ -2,10 +2,9 @@
 //!
 //! A worker's entry may vanish from the store's list seconds before its tasks end. Only the holder
 //! that started them knows its address; without it the next holder can neither renew their leases
-//! nor stop cancelled tasks. The row is written only when its workers change. Alternatives
-//! considered: storing the address with each task's progress, which needs no row of its own but
-//! adds a third to the bytes of every write of a running task; and shorter leases, which would end
-//! sound work at each change of the holder.
+//! nor stop cancelled tasks. The row is written only when its workers change. Storing the address
+//! with each task's progress would need no row of its own, but adds a third to the bytes of every
+//! write of a running task. Shorter leases would end sound work at each change of the holder.
 
 use std::time;
 
--- a/crates/wharflane/src/job/waits.rs
+++ b/crates/wharflane/src/job/waits.rs
@@ -1,4 +1,4 @@
-//! Logs for operators why tasks that have waited for long get no worker.
+//! Logs why tasks that have waited for long get no worker, for operators.
 
 use std::collections;
 use std::time;
@@ -85,7 +85,7 @@
                 reserved.then_some(obstacle::Obstacle::Reserved)
             };
             let ticket = || self.ticket_obstacle(&entry.job, task, &view.member.incarnation, now);
-            let plain = obstacle::plain(view, service, task, step, view.takes(task, now));
+            let plain = obstacle::plain(view, service, task, step, view.accepts(task, now));
             if let Some(obstacle) = plain.or_else(reserved).or_else(ticket).or_else(interference) {
                 *counts.entry(obstacle).or_default() += 1;
             }
--- a/crates/wharflane/src/job/work.rs
+++ b/crates/wharflane/src/job/work.rs
@@ -35,7 +35,7 @@
     /// When this holder first saw that it has ended.
     pub ended: Option<time::Duration>,
     /// The measured run times of its tasks, by step.
-    pub taken: collections::BTreeMap<u32, RunTimes>,
+    pub run_times: collections::BTreeMap<u32, RunTimes>,
 }
 
 /// The measured run times of a step's tasks.
@@ -49,12 +49,12 @@
 
 impl Entry {
     /// Returns whether none of its tasks has begun; a task that only has a worker has not.
-    pub fn waits(&self) -> bool {
-        self.active() && !self.begun
+    pub fn is_waiting(&self) -> bool {
+        self.is_active() && !self.begun
     }
 
     /// Returns whether its tasks should run.
-    pub fn active(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         !self.cancelled && !self.progress.phase.ended()
     }
 }
@@ -70,8 +70,8 @@
     pub start_state: StartState,
     /// Until when an order for it may still be carried out, by the worker's clock, in milliseconds.
     pub lease_until_ms: u64,
-    /// The unanswered orders of the start.
-    pub doubt: Doubt,
+    /// The orders sent for the start.
+    pub start_orders: StartOrders,
     /// When the worker confirmed the start; absent if another holder ordered it.
     pub began: Option<time::Duration>,
     /// When a stop was last ordered.
@@ -89,7 +89,7 @@
             run: before.run,
             start_state: StartState::Orphaned,
             lease_until_ms: 0,
-            doubt: Doubt { unanswered: 0, fence: before.doubt.fence },
+            start_orders: StartOrders { unanswered: 0, fence: before.start_orders.fence },
             began: None,
             stopped: None,
             progress: (0, now),
@@ -97,12 +97,12 @@
     }
 }
 
-/// The uncertainty about the start of a task.
+/// The orders that this holder sent for one start.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Doubt {
-    /// The number of orders that had no answer.
+pub(super) struct StartOrders {
+    /// The number of these orders that had no answer.
     pub unanswered: u32,
-    /// The highest fence that an order carried; zero if this holder sent none.
+    /// The highest fence that one of them carried; zero if this holder sent none.
     pub fence: u64,
 }
 
--- a/crates/wharflane/src/job/worker.rs
+++ b/crates/wharflane/src/job/worker.rs
@@ -17,7 +17,7 @@
 const FAILURES_BEFORE_QUARANTINE: u32 = 2;
 /// A tail latency above this percentage of its target counts as a miss; the figures are rough.
 const MISSED_PERCENT: u64 = 100;
-/// How long a target must be met until a period of misses is over.
+/// How long a target must be met without a break until a period of misses is over.
 const RECOVERED_AFTER: time::Duration = time::Duration::from_millis(700);
 /// The duration of a quarantine; such disturbances last about 4 to 8 s.
 const QUARANTINE_TIME: time::Duration = time::Duration::from_secs(4);
@@ -25,7 +25,7 @@
 /// The minimum time between two heartbeats to a worker that runs something.
 pub(super) const HEARTBEAT_GAP: time::Duration = time::Duration::from_millis(50);
 
-/// A service task, with the latency target that its neighbours on the worker must not break.
+/// A serving task, with the latency target that its neighbours on the worker must not violate.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Serving {
     /// The image that it runs.
@@ -44,7 +44,7 @@
     /// The share of full speed at which it runs, in percent.
     pub percent: u8,
     /// Whether it was ever throttled.
-    pub paced: bool,
+    pub was_throttled: bool,
     /// Whether it was started throttled to prevent starvation and has not reached full speed since.
     pub started_throttled: bool,
     /// Whether the share must be sent to the worker once the run is confirmed there.
@@ -53,7 +53,7 @@
     pub low_since: Option<time::Duration>,
 }
 
-/// The strain of a service task as last reported.
+/// The strain of a serving task as last reported.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Strain {
     /// When it was reported.
@@ -89,14 +89,14 @@
     }
 }
 
-/// How much interference from one more neighbour the service tasks of a worker tolerate.
+/// How much interference from one more neighbour the serving tasks of a worker tolerate.
 #[derive(Clone, Debug)]
 pub(super) struct Headroom {
     /// When it was computed.
     pub at: time::Duration,
-    /// Whether one of the service tasks misses its target.
+    /// Whether one of the serving tasks misses its target.
     pub missed: bool,
-    /// The remaining tolerance of each service task, with its image.
+    /// The remaining tolerance of each serving task, with its image.
     pub left: Vec<(interference::Image, f64)>,
 }
 
@@ -161,16 +161,16 @@
     /// The number of consecutive failed runs.
     pub failures: u32,
     /// The tasks that were there when its leases expired, until it answers or is known to be gone.
-    pub lapsed: Vec<crash::Presence>,
+    pub expired_tasks: Vec<crash::Presence>,
     /// The suspect that the worker is reserved for, because it may have crashed its last worker.
     pub reserved_for: Option<spec::TaskId>,
-    /// The service tasks there.
+    /// The serving tasks there.
     pub serving: collections::BTreeMap<spec::TaskId, Serving>,
     /// The best-effort tasks there.
     pub filling: collections::BTreeMap<spec::TaskId, Filling>,
     /// When the share of a best-effort task last changed.
-    pub paced: time::Duration,
-    /// How much interference its service tasks tolerate, as last computed.
+    pub share_changed: time::Duration,
+    /// How much interference its serving tasks tolerate, as last computed.
     pub headroom: Option<Headroom>,
 }
 
@@ -200,11 +200,11 @@
             backoff_until: time::Duration::ZERO,
             quarantined_until: time::Duration::ZERO,
             failures: 0,
-            lapsed: Vec::new(),
+            expired_tasks: Vec::new(),
             reserved_for: None,
             serving: collections::BTreeMap::new(),
             filling: collections::BTreeMap::new(),
-            paced: time::Duration::ZERO,
+            share_changed: time::Duration::ZERO,
             headroom: None,
         }
     }
@@ -231,7 +231,7 @@
     }
 
     /// Returns whether all granted leases have expired, so that nothing can run there any more.
-    pub fn lapsed(&self, now: time::Duration) -> bool {
+    pub fn leases_expired(&self, now: time::Duration) -> bool {
         if !self.fenced && now < self.inherited.until {
             return false;
         }
@@ -241,9 +241,10 @@
         }
     }
 
-    /// Returns whether a new task may be placed there.
-    pub fn takes(&self, task: spec::TaskId, now: time::Duration) -> bool {
-        self.takes_in_need(task, now) && !self.is_quarantined(now)
+    /// Returns whether a new task may be placed there, which a reservation, a quarantine or the
+    /// state of the worker may forbid.
+    pub fn accepts(&self, task: spec::TaskId, now: time::Duration) -> bool {
+        self.accepts_starving(task, now) && !self.is_quarantined(now)
     }
 
     /// Returns whether it is quarantined because runs failed or stalled there.
@@ -252,7 +253,7 @@
     }
 
     /// Returns whether a starving task may be placed there, even in quarantine.
-    pub fn takes_in_need(&self, task: spec::TaskId, now: time::Duration) -> bool {
+    pub fn accepts_starving(&self, task: spec::TaskId, now: time::Duration) -> bool {
         self.reserved_for.is_none_or(|reserved| reserved == task) && self.is_available(now)
     }
 
@@ -265,13 +266,13 @@
             && now >= self.backoff_until
     }
 
-    /// Returns whether no start may be ordered there, not even again: it is leaving, or its hall is
-    /// closed.
+    /// Returns whether no start may be sent there, not even a retry, because the worker is leaving
+    /// or its hall is closed.
     pub fn is_barred(&self) -> bool {
         self.member.leaving || self.closed
     }
 
-    /// Returns whether no task at all may be placed there for now.
+    /// Returns whether no task of any kind may be placed there for now.
     pub fn is_closed_to_all(&self, now: time::Duration) -> bool {
         !self.is_available(now) || self.is_quarantined(now) || self.reserved_for.is_some()
     }
@@ -289,7 +290,8 @@
         self.member.capacity.minus(&self.used).minus(&self.unknown_capacity)
     }
 
-    /// Returns the capacity that remains free of long-running tasks and unknown runs.
+    /// Returns the capacity that neither long-running tasks nor unknown runs take; batch tasks free
+    /// theirs in time.
     pub fn free_in_time(&self) -> size::Size {
         self.member.capacity.minus(&self.lasting).minus(&self.unknown_capacity)
     }
@@ -352,7 +354,7 @@
                     image,
                     cpu_milli,
                     percent: 100,
-                    paced: false,
+                    was_throttled: false,
                     started_throttled: false,
                     share_unsent: false,
                     low_since: None,
--- a/crates/wharflane/src/lease.rs
+++ b/crates/wharflane/src/lease.rs
@@ -1,7 +1,7 @@
 //! The lease of a hall: which host may write for the hall, and when another host may take over.
 //!
-//! Hosts don't compare clocks. A host takes the lease only after it has seen the head row unchanged
-//! for a full lease by its own clock.
+//! Hosts don't compare clocks. A host acquires the lease only after it has observed the head row
+//! unchanged for a full lease by its own clock.
 
 use std::time;
 
@@ -60,9 +60,9 @@
         self.last_read = Some(now);
     }
 
-    /// Returns whether the host with this rank among the live hosts may try to take the lease.
+    /// Returns whether the host with this rank among the live hosts may try to acquire the lease.
     #[must_use]
-    pub fn may_take(
+    pub fn may_acquire(
         &self,
         head: Option<&Head>,
         rank: usize,
@@ -82,7 +82,7 @@
 /// The durations that govern a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// How long a row must stay unchanged before another host may take the lease.
+    /// How long a row must stay unchanged before another host may acquire the lease.
     pub lease: time::Duration,
     /// The additional wait for each host of higher rank.
     pub turn: time::Duration,
--- a/crates/wharflane/src/members.rs
+++ b/crates/wharflane/src/members.rs
@@ -1,4 +1,4 @@
-//! The platform's list of gateway hosts and workers, which may lag behind reality.
+//! The platform's list of hosts and workers, which may be outdated.
 
 use std::collections;
 use std::net;
@@ -12,13 +12,13 @@
 pub struct Members {
     /// Increases with every change of the list.
     pub version: u64,
-    /// Gateway hosts by id.
+    /// Hosts by id.
     pub hosts: collections::BTreeMap<id::HostId, Host>,
     /// Workers by id.
     pub workers: collections::BTreeMap<id::WorkerId, Worker>,
 }
 
-/// A gateway host.
+/// A host, an instance of the gateway daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
     /// The address for messages from other hosts.
--- a/crates/wharflane/src/outcome.rs
+++ b/crates/wharflane/src/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of a request, as its caller is told.
+//! The outcome of a request, as reported to its caller.
 //!
 //! A caller may rely on `NotRun` to retry any request, so that outcome is reported only with proof.
 
--- a/crates/wharflane/src/placement.rs
+++ b/crates/wharflane/src/placement.rs
@@ -97,12 +97,12 @@
     if !need.fits(&room) {
         return None;
     }
-    spare_unneeded(&mut chosen, &room, need);
+    drop_unneeded(&mut chosen, &room, need);
     Some(chosen)
 }
 
 /// Removes each victim that is not needed to make room.
-fn spare_unneeded(chosen: &mut Vec<Victim<'_>>, room: &size::Size, need: &size::Size) {
+fn drop_unneeded(chosen: &mut Vec<Victim<'_>>, room: &size::Size, need: &size::Size) {
     let mut room = *room;
     chosen.retain(|victim| {
         let without = room.minus(&victim.size);
--- a/crates/wharflane/src/queue.rs
+++ b/crates/wharflane/src/queue.rs
@@ -1,7 +1,7 @@
 //! The request queue of one service at one host.
 //!
 //! Requests leave the queue by priority. Admission is bounded by the length of the queue and by the
-//! deadline: a request that could not start in time is refused at once instead of waiting in vain.
+//! deadline: a request that could not start in time is refused at once instead of being queued.
 
 use std::collections;
 use std::time;
@@ -41,8 +41,8 @@
     next_arrival: u64,
     /// The moving average of the time between two dequeued requests; `None` before the second one.
     service_interval: Option<time::Duration>,
-    /// When the last request was dequeued; `None` after a pop found the queue empty, so that idle time
-    /// is not averaged in.
+    /// When the last request was dequeued; `None` after a pop found the queue empty, so that idle
+    /// time is not averaged in.
     last_dequeued: Option<time::Duration>,
 }
 
--- a/crates/wharflane/src/route.rs
+++ b/crates/wharflane/src/route.rs
@@ -86,7 +86,7 @@
         self.window = (self.window + WINDOW_INCREASE).min(INITIAL_WINDOW);
     }
 
-    /// Records a failure; `may_eject` says whether enough other endpoints remain in use.
+    /// Records a failure; `may_eject` tells whether enough other endpoints remain in use.
     pub fn failed(&mut self, now: time::Duration, may_eject: bool) {
         let penalty = self.latency_us.max(INITIAL_LATENCY_US) * FAILURE_PENALTY;
         self.latency_us = (self.latency_us * (1.0 - ALPHA) + penalty * ALPHA).min(MAX_LATENCY_US);
@@ -102,7 +102,7 @@
 
     /// Records that the endpoint refused a request because it was full.
     ///
-    /// Hosts that share an endpoint converge on their shares by this rule alone: a window grows
+    /// Hosts that share an endpoint converge on fair shares without communication: a window grows
     /// slightly with every response and shrinks by a quarter with every refusal.
     pub fn refused(&mut self, now: time::Duration) {
         let window_in_use = self.window.min(f64::from(self.in_flight + 1));
--- a/crates/wharflane/src/toml_read.rs
+++ b/crates/wharflane/src/toml_read.rs
@@ -1,7 +1,6 @@
 //! A TOML reader that reports every error of a document with its line, instead of only the first.
 //!
-//! Each key is taken out of its table when it is read, so that the keys that remain are the unknown
-//! ones.
+//! Reading a key removes it from its table, so that the keys that remain are the unknown ones.
 
 use std::cell;
 use std::collections;
@@ -85,7 +84,7 @@
         name: String,
     },
     /// A name or address that must be unique is used twice.
-    #[error("{what} `{name}` stands twice")]
+    #[error("{what} `{name}` is used twice")]
     Twice {
         /// The kind of object that the name is for.
         what: String,
--- a/crates/wharflane/tests/advice.rs
+++ b/crates/wharflane/tests/advice.rs
@@ -1,4 +1,4 @@
-//! Steps that only some workers may run: which workers the advisor is asked about, which ticket a
+//! Steps that only some workers may run: which workers a request for advice names, which ticket a
 //! start carries, and when advice is requested again.
 
 mod sim;
@@ -14,7 +14,7 @@
     sim::member(at).incarnation
 }
 
-/// Returns a simulation with `workers` workers, of which the advisor allows only the last.
+/// Returns a simulation with `workers` workers, of which the advice service accepts only the last.
 fn sim(workers: usize) -> sim::Sim {
     let mut sim = sim::Sim::new(workers, Vec::new());
     sim.allowed_workers = vec![worker(workers - 1)];
--- a/crates/wharflane/tests/backlog.rs
+++ b/crates/wharflane/tests/backlog.rs
@@ -31,9 +31,9 @@
     assert!(many <= 2 * few, "{few} searches behind 60 jobs, {many} behind 600");
 }
 
-/// Returns how many worker searches the engine makes in one second while `jobs` starved jobs wait
+/// Returns how many worker searches the engine makes in one second while `jobs` starving jobs wait
 /// in a service that is mostly idle.
-fn searches_for_starved_jobs(jobs: u64) -> u64 {
+fn searches_for_starving_jobs(jobs: u64) -> u64 {
     let mut sim = sim::Sim::new(4, Vec::new());
     let spread = job::Step { count: 4, max_per_worker: Some(1), ..sim::step("serving", 7_000) };
     sim.submit(1, "first", spread);
@@ -51,9 +51,9 @@
 
 cases! {
     starved_tasks_are_tried_a_few_times_a_pass => {
-        let (few, many) = (searches_for_starved_jobs(60), searches_for_starved_jobs(600));
+        let (few, many) = (searches_for_starving_jobs(60), searches_for_starving_jobs(600));
         assert!(few > 0);
-        assert!(many <= 2 * few, "{few} searches with 60 starved jobs, {many} with 600");
+        assert!(many <= 2 * few, "{few} searches with 60 starving jobs, {many} with 600");
     },
     waiting_tasks_of_one_size_are_tried_once_a_pass => check_searches_do_not_grow(|_| sim::step("plain", 4_000)),
     waiting_tasks_of_many_sizes_are_tried_a_few_times_a_pass => {
--- a/crates/wharflane/tests/bounds.rs
+++ b/crates/wharflane/tests/bounds.rs
@@ -7,7 +7,7 @@
 use wharflane_stand_in::cases;
 use wharflane_stand_in::jobs::rows as store;
 
-/// The longest row value that the store takes, in bytes of base64.
+/// The longest row value that the store accepts, in bytes of base64.
 const MAX_ROW_BYTES: usize = 65_536;
 
 /// Returns the id of a task of a job with one step.
@@ -101,7 +101,7 @@
             failed_runs: [999_998, 999_999].into(),
             worker: Some(worker),
             checkpoint: "x".repeat(160),
-            losses: job::Losses { suspected: 4, alone: 2, unexplained: 4 },
+            losses: job::Losses { suspected: 4, sole_suspect: 2, unexplained: 4 },
             ..job::Task::default()
         };
         let bytes = encoded_row_bytes(&state);
--- a/crates/wharflane/tests/cancel.rs
+++ b/crates/wharflane/tests/cancel.rs
@@ -1,9 +1,9 @@
-//! A cancelled job ends: all its tasks stop in time, whichever host started them, wherever they
-//! run, and however late they start.
+//! A cancelled job ends: all its tasks stop in time, whichever host started them, whichever worker
+//! runs them, and however late they start.
 //!
 //! After the cancel is acknowledged, the caller neither pays for the job nor watches it. A task
-//! that runs on holds resources that others wait for, and its work may conflict with what the
-//! caller runs next in its place. So a task stops within `CANCEL` and the time of a stop after the
+//! that keeps running holds resources that others wait for, and its work may conflict with what the
+//! caller runs next instead. So a task stops within `CANCEL` and the time of a stop after the
 //! acknowledgement, and a task whose start its worker carries out late stops within `CONTACT` and
 //! the time of a stop after that start. This holds also if the host that ordered the start is gone
 //! for good and the store no longer lists the worker.
@@ -332,7 +332,7 @@
             self.tick();
         }
         let version = row.map_or(0, |(version, _)| version);
-        self.sim.handle(job::Event::Probed { version, sign: job::ProbeResult::Refused });
+        self.sim.handle(job::Event::Probed { version, result: job::ProbeResult::Refused });
         let progress = self.sim.table(job::PROGRESS);
         let learned = self.sim.table(job::LEARNED);
         self.sim.handle(job::Event::Closed(job::ClosedHalls::default()));
--- a/crates/wharflane/tests/closed_halls.rs
+++ b/crates/wharflane/tests/closed_halls.rs
@@ -1,5 +1,5 @@
-//! Halls that operators have closed: nothing starts there, running tasks go on, and the room is
-//! used again once the hall is open.
+//! Halls that operators have closed: nothing starts there, running tasks keep running, and the
+//! capacity is used again once the hall is open.
 
 mod sim;
 
@@ -33,7 +33,7 @@
     sim
 }
 
-/// Tells the engine which halls are closed; all others are open.
+/// Passes a reading of the closed halls to the engine; all other halls are open.
 fn close(sim: &mut sim::Sim, halls: &[&str]) {
     sim.version += 1;
     let halls = halls.iter().map(|hall| (*hall).into()).collect();
@@ -121,7 +121,7 @@
         assert_eq!(sim.starts(1).len(), 1);
         assert_eq!(hall_of(&sim, task(1)), "south");
     },
-    a_gang_with_a_member_in_a_hall_closed_since_starts_elsewhere_or_not_at_all => {
+    a_gang_with_a_member_in_a_hall_closed_since_starts_in_another_hall_or_not_at_all => {
         let mut sim = sim_with_workers(2);
         sim.leaves_txn_open = writes_progress;
         let gang = job::Step { gang: true, ..sim::step("plain", 12_000) };
--- a/crates/wharflane/tests/commit.rs
+++ b/crates/wharflane/tests/commit.rs
@@ -8,7 +8,7 @@
 enum Event {
     /// The oldest write in flight lands, and its answer arrives (`true`) or is lost.
     Land(bool),
-    /// The writer is told that no answer came, while the write is still in flight.
+    /// The writer's wait for an answer times out while the write is still in flight.
     LoseAnswer,
     /// The head row is read as it was this many writes ago.
     ReadBack(usize),
@@ -55,8 +55,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// A commit that is reported as committed stands in the store exactly once, and no transaction
-    /// stands twice.
+    /// A commit that is reported as committed is in the store exactly once, and no transaction is
+    /// in it twice.
     #[test]
     fn a_committed_transaction_stands_exactly_once(events in prop::collection::vec(event(), 1..40)) {
         let mut row = Row::default();
--- a/crates/wharflane/tests/crashing_tasks.rs
+++ b/crates/wharflane/tests/crashing_tasks.rs
@@ -3,7 +3,7 @@
 //! Guards against this failure: a worker that had started a task was silent 11 ms after the order.
 //! 1.9 s later another incarnation answered at its address; the holder released the task and 24 ms
 //! later ordered it on the next worker, some 30 times. Nothing bounded this, since only ends that a
-//! worker reports counted as attempts. These tests show it with one holder and no other fault.
+//! worker reports counted as attempts. The tests reproduce it with one holder and no other fault.
 
 mod sim;
 
@@ -159,7 +159,7 @@
         let mut sim = sim::Sim::taking_over(0, (jobs, rows), Vec::new());
         sim.handle(job::Event::Listed((1..5).map(sim::member).collect()));
         sim.advance(LAPSED_MS, false);
-        assert_eq!(losses(&sim, 1), job::Losses { suspected: 1, alone: 0, unexplained: 0 });
+        assert_eq!(losses(&sim, 1), job::Losses { suspected: 1, sole_suspect: 0, unexplained: 0 });
     },
     a_worker_that_leaves_is_not_counted => {
         let mut sim = started(sim::step("plain", 1_000));
@@ -180,7 +180,7 @@
         assert_eq!(sim.starts(JOB).len(), 2, "the task is started again once its lease is over");
         assert_eq!(losses(&sim, JOB), job::Losses::default());
     },
-    a_worker_that_goes_after_its_leases_have_lapsed_counts => {
+    a_worker_that_goes_after_its_leases_have_expired_counts => {
         for loss in [unlist_worker, answer_as_gone] {
             let mut sim = started(sim::step("plain", 1_000));
             let worker = sim.newest_order(task(JOB)).worker;
@@ -194,7 +194,7 @@
             assert_eq!(suspected + unexplained, 1, "the worker is lost");
         }
     },
-    a_worker_that_answers_after_its_leases_have_lapsed_is_not_counted => {
+    a_worker_that_answers_after_its_leases_have_expired_is_not_counted => {
         let mut sim = started(sim::step("plain", 1_000));
         let worker = sim.newest_order(task(JOB)).worker;
         sim.silent_workers.insert(worker.clone());
@@ -300,7 +300,7 @@
             crash(&mut sim, JOB);
             sim.advance(100, false);
         }
-        assert_eq!(losses(&sim, JOB).alone, 3);
+        assert_eq!(losses(&sim, JOB).sole_suspect, 3);
         assert_eq!(sim.phase(JOB), job::Phase::Running);
         for _ in 0..2 {
             crash(&mut sim, JOB);
--- a/crates/wharflane/tests/job.rs
+++ b/crates/wharflane/tests/engine.rs
@@ -8,13 +8,13 @@
 use wharflane_stand_in::jobs::world;
 
 /// Returns a simulation of two serving tasks, one of them beside a best-effort task.
-fn learn_interference(harmed: bool) -> sim::Sim {
+fn learn_interference(interferes: bool) -> sim::Sim {
     let mut sim = sim::Sim::new(2, Vec::new());
     let serving = sim::step("serving", 4_000);
     sim.submit(1, "first", job::Step { count: 2, max_per_worker: Some(1), ..serving });
-    sim.advance(3_000, harmed);
+    sim.advance(3_000, interferes);
     sim.submit(2, "last", sim::step("filling", 4_000));
-    sim.advance(9_000, harmed);
+    sim.advance(9_000, interferes);
     sim
 }
 
@@ -37,11 +37,11 @@
         // By its average load the task would just keep the target of the other worker's serving
         // task.
         let mut sim = learn_interference(true);
-        let harm = sim.harm().expect("learned");
-        let cpu_milli = (16_000.0 * 0.4 / harm) as u64;
+        let slope = sim.harm().expect("learned");
+        let cpu_milli = (16_000.0 * 0.4 / slope) as u64;
         sim.submit(3, "last", sim::step("filling", cpu_milli));
         sim.advance(1_000, true);
-        assert_eq!(sim.starts(3), [], "interference {harm}, {cpu_milli} thousandths of a core");
+        assert_eq!(sim.starts(3), [], "interference {slope}, {cpu_milli} thousandths of a core");
         sim.handle(job::Event::Member("worker-2".into(), Some(sim::member(2))));
         sim.advance(1_000, true);
         assert_eq!(sim.starts(3).len(), 1, "an empty worker takes it");
--- a/crates/wharflane/tests/isolation.rs
+++ b/crates/wharflane/tests/isolation.rs
@@ -1,8 +1,8 @@
-//! Starts of a task that has lost workers: where they may go, how long they are held back, and what
-//! the next holder knows of the losses.
+//! Starts of a task under which workers were lost: which workers may get them, how long they are
+//! deferred, and what the next holder knows of the losses.
 //!
-//! The rules bound the number of starts of a task that crashes its workers, and keep a sound task
-//! from being given up when workers go for other reasons.
+//! The rules bound the number of starts of a task that crashes its workers, and prevent that a
+//! sound task is given up when workers are lost for other reasons.
 
 mod sim;
 
@@ -85,8 +85,8 @@
 }
 
 cases! {
-    // A task that crashes its worker only after a while had unlimited starts, since a freshly
-    // started task beside it took the blame for each loss.
+    // A task that crashes its worker only after a while had unlimited starts, since each loss was
+    // attributed to a freshly started task beside it.
     a_culprit_at_work_beside_fresh_starts_is_given_up_after_five => {
         let mut sim = started(12, long_running());
         lose_workers_beside_fresh_tasks(&mut sim);
@@ -170,11 +170,11 @@
         waits_ms(&mut sim, |_, _| {});
         let worker = sim.newest_order(task(JOB)).worker;
         sim.silent_workers.insert(worker.clone());
-        let mut lapsed_ms = 0;
+        let mut expired_ms = 0;
         while sim.engine.holding().expect("a holder").dump().placed > 0 {
             sim.advance(100, false);
-            lapsed_ms += 100;
-            assert!(lapsed_ms < 10_000, "the leases never expire");
+            expired_ms += 100;
+            assert!(expired_ms < 10_000, "the leases never expire");
         }
         sim.advance(2_000, false);
         assert_eq!(sim.starts(JOB).len(), 4, "the fourth run may be lost");
@@ -207,7 +207,7 @@
         sim.advance(AWAY_MS, false);
         replace_worker(&mut sim, &second);
         sim.advance(100, false);
-        assert_eq!(losses(&sim, JOB), job::Losses { suspected: 0, alone: 0, unexplained: 2 });
+        assert_eq!(losses(&sim, JOB), job::Losses { suspected: 0, sole_suspect: 0, unexplained: 2 });
     },
     // A task that fails between the starts that crash workers had a sixth start, since only losses
     // were counted.
--- a/crates/wharflane/tests/late_ends.rs
+++ b/crates/wharflane/tests/late_ends.rs
@@ -3,8 +3,8 @@
 //! Guards against this failure on hosts whose links were full: a worker was silent for longer than
 //! its lease, its task was staged again, and then the worker reported that the first run was done.
 //! The holder acknowledged and dropped that end, and the next run started, 350 times in a day. So
-//! nothing that was acknowledged may be forgotten. Whatever the newest run is by then, a run that
-//! is done completes its task, a failure counts once, and a saved checkpoint is kept.
+//! no end that was acknowledged may be dropped. Whichever run is the newest by then, a run that is
+//! done completes its task, a failure counts once, and a saved checkpoint stays available.
 
 mod sim;
 
@@ -69,7 +69,7 @@
     seen.map(|(_, seen)| *seen).max().unwrap_or(0)
 }
 
-/// Returns a simulation whose engine takes the job over from another.
+/// Returns a simulation whose engine takes the job over from another holder.
 fn next_holder(before: &mut sim::Sim) -> sim::Sim {
     let job::Event::Jobs(jobs) = before.accepted(JOB, "first", sim::step("plain", 1_000)) else {
         panic!("no rows");
--- a/crates/wharflane/tests/lease.rs
+++ b/crates/wharflane/tests/lease.rs
@@ -1,4 +1,4 @@
-//! When the lease of a domain is taken, and by which host.
+//! When the lease of a domain is acquired, and by which host.
 
 mod sim;
 
@@ -8,10 +8,10 @@
 use wharflane_stand_in::cases;
 use wharflane_stand_in::jobs::world;
 
-/// How much later a weak host takes a lease, in milliseconds.
+/// How much later a weak host acquires a lease, in milliseconds.
 const HANDICAP_MS: u64 = 1_200;
 
-/// An engine that reads a lease again and again.
+/// An engine that reads a lease repeatedly.
 struct LeaseWatcher {
     /// The engine under test.
     engine: job::Engine,
@@ -20,16 +20,16 @@
 }
 
 impl LeaseWatcher {
-    /// Returns an engine whose host takes a lease `handicap_ms` later than others.
-    fn new(handicap_ms: u64) -> Self {
-        let takeover_delay = time::Duration::from_millis(handicap_ms);
+    /// Returns an engine whose host acquires a lease `delay_ms` later than others.
+    fn new(delay_ms: u64) -> Self {
+        let takeover_delay = time::Duration::from_millis(delay_ms);
         let settings = job::Settings { takeover_delay, ..world::settings() };
         let engine = job::Engine::new("host".into(), settings, 1);
         Self { engine, now: time::Duration::from_secs(1) }
     }
 
-    /// Reads a lease that does not change, and returns after how many milliseconds the engine takes
-    /// it.
+    /// Reads a lease that does not change, and returns after how many milliseconds the engine
+    /// acquires it.
     fn takeover_time_ms(&mut self, row: Option<(u64, job::Lease)>) -> u64 {
         for waited_ms in (0..10_000).step_by(100) {
             let effects = self.engine.step(self.now, job::Event::LeaseRead(row.clone()));
@@ -42,7 +42,7 @@
     }
 
     /// Reads a lease that does not change, answers probes of its holder with `result`, and returns
-    /// after how many milliseconds the engine takes the lease.
+    /// after how many milliseconds the engine acquires the lease.
     fn takeover_time_from_dead_holder_ms(&mut self, result: job::ProbeResult) -> u64 {
         let addr = Some(([127, 0, 0, 1], 9).into());
         let row = held().map(|(version, lease)| (version, job::Lease { addr, ..lease }));
@@ -53,7 +53,7 @@
                 _ => None,
             });
             if let Some(version) = probed {
-                let event = job::Event::Probed { version, sign: result };
+                let event = job::Event::Probed { version, result };
                 if !self.engine.step(self.now, event).is_empty() {
                     return waited_ms;
                 }
@@ -63,8 +63,8 @@
         panic!("the lease was never taken");
     }
 
-    /// Takes a free lease; the engine then asks for the state of the domain.
-    fn take(&mut self) {
+    /// Acquires a free lease; the engine then requests the state of the domain.
+    fn acquire(&mut self) {
         self.takeover_time_ms(None);
         let outcome = rows::Outcome::Answered(rows::Answer::Done { version: 1 });
         let effects = self.engine.step(self.now, job::Event::Txn { number: 1, outcome });
@@ -92,7 +92,7 @@
     sim.handle(job::Event::LeaseRead(row.clone()));
     if early {
         sim.now += world::settings().probe;
-        sim.handle(job::Event::Probed { version: 7, sign: job::ProbeResult::Refused });
+        sim.handle(job::Event::Probed { version: 7, result: job::ProbeResult::Refused });
     } else {
         sim.now += world::settings().lease;
         sim.handle(job::Event::LeaseRead(row));
@@ -152,19 +152,19 @@
         let row = held();
         watcher.engine.step(watcher.now, job::Event::LeaseRead(row));
         watcher.now += time::Duration::from_millis(900);
-        let effects = watcher.engine.step(watcher.now, job::Event::Probed { version: 6, sign: job::ProbeResult::Refused });
+        let effects = watcher.engine.step(watcher.now, job::Event::Probed { version: 6, result: job::ProbeResult::Refused });
         assert_eq!(effects, []);
-        let effects = watcher.engine.step(watcher.now, job::Event::Probed { version: 7, sign: job::ProbeResult::Listens });
+        let effects = watcher.engine.step(watcher.now, job::Event::Probed { version: 7, result: job::ProbeResult::Listens });
         assert_eq!(effects, []);
     },
     a_lease_is_given_up_if_the_state_cannot_be_read => {
         let mut watcher = LeaseWatcher::new(0);
-        watcher.take();
+        watcher.acquire();
         let effects = watcher.engine.step(watcher.now, job::Event::LoadFailed);
         assert_eq!(effects, [job::Effect::Load], "there is time for one more attempt");
         watcher.now += world::settings().lease;
         watcher.engine.step(watcher.now, job::Event::Tick { wall_ms: 0 });
-        assert!(watcher.engine.left());
+        assert!(watcher.engine.is_watching());
         let effects = watcher.engine.step(watcher.now, job::Event::LoadFailed);
         assert_eq!(effects, [], "another host may hold the domain");
     },
--- a/crates/wharflane/tests/leaving.rs
+++ b/crates/wharflane/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! Workers that have announced that they leave: no start is ordered there any more, neither for the
-//! first time nor again.
+//! Workers that have announced that they leave: no start is ordered there any more, neither a first
+//! order nor a retry.
 
 mod sim;
 
@@ -46,7 +46,7 @@
     },
     // A start whose commit took long was ordered on a worker that had announced in the meantime
     // that it leaves.
-    a_start_recorded_before_its_worker_leaves_is_ordered_elsewhere => {
+    a_start_recorded_before_its_worker_leaves_is_ordered_on_another_worker => {
         let mut sim = sim::Sim::new(1, Vec::new());
         sim.leaves_txn_open = writes_progress;
         sim.submit(JOB, "first", step());
--- a/crates/wharflane/tests/link.rs
+++ b/crates/wharflane/tests/link.rs
@@ -2,7 +2,7 @@
 //!
 //! Guards against this failure on hosts of 2 Mbit/s with 144 workers and more work than they can
 //! order: each start and heartbeat took longer than its timeout and was sent again, and 96 % of the
-//! work owed was not done. The settings tell what a link carries; 250,000 bytes a second are 2
+//! due work was not done. The settings state the bandwidth of a link; 250,000 bytes a second are 2
 //! Mbit/s.
 
 mod sim;
--- a/crates/wharflane/tests/malformed_rows.rs
+++ b/crates/wharflane/tests/malformed_rows.rs
@@ -1,4 +1,4 @@
-//! Rows of others and rows that can't be read affect nothing but themselves.
+//! Rows of other programs and unreadable rows don't affect the handling of other rows.
 
 mod sim;
 
--- a/crates/wharflane/tests/refusal.rs
+++ b/crates/wharflane/tests/refusal.rs
@@ -1,4 +1,4 @@
-//! When callers whose calls could not be served are told to retry.
+//! The retry delays of callers whose calls could not be served.
 
 use std::time;
 
@@ -20,7 +20,7 @@
     retry_after::Cause::NotKnown,
 ];
 
-/// Returns how many callers are told to retry after one second, two seconds and so on, if an outage
+/// Returns how many callers get a retry delay of one second, two seconds and so on, if an outage
 /// has lasted for `lasted_ms`.
 fn retry_counts(cause: retry_after::Cause, lasted_ms: u64, left: time::Duration) -> Vec<u64> {
     let lasted = time::Duration::from_millis(lasted_ms);
@@ -29,7 +29,7 @@
     for _ in 0..CALLERS {
         let after = retry_after::of(cause, lasted, left, random.random());
         assert_eq!(after.subsec_nanos(), 0, "whole seconds");
-        assert!((retry_after::LEAST..=retry_after::MOST).contains(&after), "{after:?}");
+        assert!((retry_after::MIN_DELAY..=retry_after::MAX_DELAY).contains(&after), "{after:?}");
         let at = usize::try_from(after.as_secs() - 1).expect("fits into usize");
         counts.resize(counts.len().max(at + 1), 0);
         counts[at] += 1;
@@ -84,7 +84,7 @@
         for cause in SHARED.into_iter().chain(INDIVIDUAL) {
             for draw in [0, 1, u64::MAX - 1, u64::MAX] {
                 let after = retry_after::of(cause, time::Duration::MAX, time::Duration::MAX, draw);
-                assert!((retry_after::LEAST..=retry_after::MOST).contains(&after), "{after:?}");
+                assert!((retry_after::MIN_DELAY..=retry_after::MAX_DELAY).contains(&after), "{after:?}");
             }
         }
     },
--- a/crates/wharflane/tests/restarted_workers.rs
+++ b/crates/wharflane/tests/restarted_workers.rs
@@ -1,12 +1,12 @@
-//! A worker that restarts under its id: what its new incarnation reports must not be taken for
+//! A worker that restarts under its id: reports of its new incarnation must not be mistaken for
 //! reports of the previous one.
 //!
 //! Guards against a failure of two deployments in which workers restarted within half a second of
 //! each other. Each task that ran on them afterwards was done and started again, up to 21 times,
 //! and steps that waited for it never began. The holder kept its view of a worker under the
-//! worker's id. A new incarnation numbers its ended runs from one, so the holder took each of them
-//! for one it knew, dropped and acknowledged it, until a number exceeded the last one of the
-//! previous incarnation. Views are therefore kept by incarnation.
+//! worker's id. A new incarnation numbers its ended runs from one, so the holder mistook each of
+//! them for one that it knew, dropped and acknowledged it, until a number exceeded the last one of
+//! the previous incarnation. Views are therefore kept by incarnation.
 
 mod sim;
 
@@ -166,11 +166,18 @@
     let report =
         job::HeartbeatAnswer::Lists(job::Lists { clock_ms: 2_000, ended, ..Default::default() });
     sim.answer_heartbeat(incarnation, report.clone());
-    assert_eq!(sim.answer_heartbeat(incarnation, job::HeartbeatAnswer::Silent).seen, 1);
-    assert_eq!(sim.answer_heartbeat(incarnation, report).seen, 0, "the worker may have restarted");
-    assert_eq!(sim.answer_heartbeat(incarnation, heartbeat_lists(incarnation, None)).seen, 1);
+    assert_eq!(sim.answer_heartbeat(incarnation, job::HeartbeatAnswer::Silent).acknowledged_end, 1);
     assert_eq!(
-        sim.answer_heartbeat(incarnation, heartbeat_lists(incarnation, None)).seen,
+        sim.answer_heartbeat(incarnation, report).acknowledged_end,
+        0,
+        "the worker may have restarted"
+    );
+    assert_eq!(
+        sim.answer_heartbeat(incarnation, heartbeat_lists(incarnation, None)).acknowledged_end,
+        1
+    );
+    assert_eq!(
+        sim.answer_heartbeat(incarnation, heartbeat_lists(incarnation, None)).acknowledged_end,
         0,
         "the worker has dropped it after the first acknowledgement"
     );
--- a/crates/wharflane/tests/room.rs
+++ b/crates/wharflane/tests/room.rs
@@ -100,13 +100,13 @@
             sim.now += time::Duration::from_millis(20);
             sim.handle(job::Event::Tick { wall_ms: 1 });
         }
-        assert!(!ordered(&sim), "the size of the stray run is unknown");
+        assert!(!ordered(&sim), "the size of the unknown run is unknown");
         sim.report_running(0, Vec::new());
         sim.now += time::Duration::from_millis(40);
         sim.handle(job::Event::Tick { wall_ms: 1 });
-        assert!(ordered(&sim), "the stray run is gone");
+        assert!(ordered(&sim), "the unknown run is gone");
     },
-    a_stray_run_of_known_size_takes_only_its_own_room => {
+    an_unknown_run_of_known_size_takes_only_its_own_room => {
         let mut sim = sim::Sim::new(2, Vec::new());
         sim.submit(1, "first", sim::step("plain", TASK_MILLI));
         sim.advance(100, false);
--- a/crates/wharflane/tests/room_for_long_running.rs
+++ b/crates/wharflane/tests/room_for_long_running.rs
@@ -1,5 +1,5 @@
-//! Long-running tasks that lost their worker while the other workers are full, under a load of many
-//! such tasks and of short tasks that wait.
+//! Restarts of long-running tasks that lost their worker while the other workers are full, under a
+//! load of many such tasks and of waiting short tasks.
 //!
 //! The sizes are those of a deployment of 490 workers of 16 cores that lost two racks and a quarter
 //! of the other workers. Long-running tasks of 3.2 cores on average run four to a worker, and short
--- a/crates/wharflane/tests/sim/mod.rs
+++ b/crates/wharflane/tests/sim/mod.rs
@@ -14,18 +14,18 @@
 /// The latency target of a serving task, in milliseconds.
 const TARGET_MS: u64 = 50;
 /// The tail latency of a serving task with no best-effort task beside it, in milliseconds.
-const QUIET_MS: u64 = 13;
+const UNDISTURBED_TAIL_MS: u64 = 13;
 /// The tail latency of a serving task beside a task that interferes with it, in milliseconds.
-const HARMED_MS: u64 = 40;
+const DISTURBED_TAIL_MS: u64 = 40;
 
 /// The numbers of jobs whose tasks are serving tasks, in addition to job 1.
 pub const SERVING_JOBS: std::ops::Range<u64> = 1_000..2_000;
-/// The queue whose steps need a ticket from the advisor.
+/// The queue whose steps need a ticket from the advice service.
 pub const ADVISED: &str = "advised";
 /// How long a ticket is valid.
 pub const TICKET: time::Duration = time::Duration::from_secs(3);
 
-/// A job engine with a simulated store and simulated workers, and the effects it has asked for.
+/// A job engine with a simulated store and simulated workers, and the effects that it requested.
 pub struct Sim {
     /// The engine under test.
     pub engine: job::Engine,
@@ -35,14 +35,14 @@
     pub version: u64,
     /// The newest values in the store, by table and row name.
     pub rows: collections::BTreeMap<(&'static str, String), String>,
-    /// Effects that the engine asked for and the simulation has not answered; starts stay here
-    /// after their worker took them.
+    /// Effects that the engine requested and the simulation has not answered; starts stay here
+    /// after their worker accepted them.
     pub pending: Vec<job::Effect>,
     /// Runs that have ended, with the worker that reports each of them in its heartbeat answers.
     pub ended_runs: Vec<(id::Incarnation, job::Ended)>,
     /// The tables of the rows that were removed, in order.
     pub removed: Vec<&'static str>,
-    /// The workers for which the advisor grants a ticket.
+    /// The workers that the advice service accepts.
     pub allowed_workers: Vec<id::Incarnation>,
     /// The requests for advice that the engine has made.
     pub advice_requests: Vec<job::AdviceRequest>,
@@ -56,7 +56,7 @@
     pub refuses_txn: fn(&rows::Txn) -> bool,
     /// How many transactions the store has refused permanently.
     pub refusals: usize,
-    /// Answers to the next starts; once they are used up, every start is taken.
+    /// Answers to the next starts; once they are used up, every start is accepted.
     pub start_answers: collections::VecDeque<job::StartAnswer>,
     /// Stop orders given while time was advanced.
     pub stops: Vec<job::Order>,
@@ -66,11 +66,11 @@
     pub acknowledgements: Vec<(id::Incarnation, u64)>,
     /// The times at which transactions were committed.
     pub commit_times: Vec<time::Duration>,
-    /// Throttle orders given while time was advanced, with their times.
-    pub paces: Vec<(time::Duration, job::Pace)>,
+    /// Orders to change a task's share that were given while time was advanced, with their times.
+    pub share_orders: Vec<(time::Duration, job::SetShare)>,
     /// Returns the tail latency of a serving task in milliseconds by the processors, in thousandths
-    /// of a core, that best-effort tasks use beside it. Without it `advance` decides by its
-    /// `harmed` argument.
+    /// of a core, that best-effort tasks use beside it. If absent, the `interferes` argument of
+    /// `advance` determines it.
     pub tail_ms: Option<fn(u64) -> u64>,
     /// The tail latencies that heartbeat answers reported for serving tasks, in milliseconds, with
     /// the time and the worker.
@@ -129,7 +129,7 @@
             heartbeats_sent: Vec::new(),
             acknowledgements: Vec::new(),
             commit_times: Vec::new(),
-            paces: Vec::new(),
+            share_orders: Vec::new(),
             tail_ms: None,
             reported_tails: Vec::new(),
             wall_clock_lag_ms: 0,
@@ -209,12 +209,12 @@
         }
     }
 
-    /// Advances the time in ticks of 20 ms. Workers answer heartbeats with what runs on them and
-    /// take the starts they get.
+    /// Advances the time in ticks of 20 ms. Workers answer heartbeats with their running and ended
+    /// runs and accept the starts that they get.
     ///
-    /// Where `harmed` is set, a serving task beside a task of job 2 reports the higher tail
+    /// If `interferes` is set, a serving task beside a task of job 2 reports the higher tail
     /// latency.
-    pub fn advance(&mut self, millis: u64, harmed: bool) {
+    pub fn advance(&mut self, millis: u64, interferes: bool) {
         let mut started: Vec<job::Start> = Vec::new();
         let mut refused: Vec<job::Start> = Vec::new();
         let mut open = Vec::new();
@@ -238,15 +238,16 @@
                         }
                         self.handle(job::Event::Started { order, answer });
                     }
-                    job::Effect::Ask(question) => {
-                        let good =
-                            question.workers.iter().filter(|w| self.allowed_workers.contains(w));
-                        let good = good.map(|worker| (worker.clone(), format!("for {worker}")));
-                        let advice = job::Advice { good: good.collect(), valid: TICKET };
+                    job::Effect::RequestAdvice(request) => {
+                        let accepted =
+                            request.workers.iter().filter(|w| self.allowed_workers.contains(w));
+                        let accepted =
+                            accepted.map(|worker| (worker.clone(), format!("for {worker}")));
+                        let advice = job::Advice { accepted: accepted.collect(), valid: TICKET };
                         let answer = (self.unanswered_requests == 0).then_some(advice);
                         self.unanswered_requests = self.unanswered_requests.saturating_sub(1);
-                        self.advice_requests.push(question.clone());
-                        self.handle(job::Event::Advised { question, answer });
+                        self.advice_requests.push(request.clone());
+                        self.handle(job::Event::AdviceAnswered { request, answer });
                     }
                     job::Effect::SendHeartbeat(heartbeat)
                         if self.silent_workers.contains(&heartbeat.worker) =>
@@ -257,14 +258,15 @@
                     }
                     job::Effect::SendHeartbeat(heartbeat) => {
                         self.heartbeats_sent.push((self.now, heartbeat.worker.clone()));
-                        self.acknowledgements.push((heartbeat.worker.clone(), heartbeat.seen));
+                        self.acknowledgements
+                            .push((heartbeat.worker.clone(), heartbeat.acknowledged_end));
                         let clock_ms = u64::try_from(self.now.as_millis()).expect("fits into u64");
                         let here = |start: &&job::Start| {
                             start.order.worker == heartbeat.worker && !self.has_ended(&start.order)
                         };
                         let here: Vec<&job::Start> = started.iter().filter(here).collect();
                         let beside = here.iter().any(|start| start.order.task.job.0 == 2);
-                        let row = |start: &&job::Start| row(start, harmed && beside);
+                        let row = |start: &&job::Start| row(start, interferes && beside);
                         let mut running: Vec<job::Running> = here.iter().map(row).collect();
                         self.apply_interference(&heartbeat.worker, &mut running);
                         // Every run reports progress, so that none counts as stalled.
@@ -276,7 +278,7 @@
                         let (worker, epoch) = (heartbeat.worker, heartbeat.epoch);
                         self.handle(job::Event::HeartbeatAnswered { worker, epoch, answer });
                     }
-                    job::Effect::Pace(pace) => self.paces.push((self.now, pace)),
+                    job::Effect::SetShare(order) => self.share_orders.push((self.now, order)),
                     job::Effect::Stop(order) => self.stops.push(order),
                     job::Effect::Txn(..) => open.push(effect),
                     _ => {}
@@ -288,20 +290,19 @@
         self.pending.extend(started.into_iter().map(job::Effect::Start));
     }
 
-    /// Sets the tail latency of serving tasks by the best-effort load beside them where `tail_ms`
-    /// is set. Best-effort tasks keep to the share that was ordered for them.
+    /// Computes the tail latency of serving tasks from the best-effort load beside them, if
+    /// `tail_ms` is set. Best-effort tasks run at the share that was ordered for them.
     fn apply_interference(&mut self, worker: &id::Incarnation, running: &mut [job::Running]) {
         let Some(tail_ms) = self.tail_ms else {
             return;
         };
         let serves = |row: &job::Running| serves(row.task.job.0);
         for row in running.iter_mut().filter(|row| !serves(row)) {
-            let ordered = self
-                .paces
-                .iter()
-                .rev()
-                .find(|(_, pace)| pace.order.task == row.task && pace.order.run == row.run);
-            let percent = ordered.map_or(100, |(_, pace)| u64::from(pace.percent));
+            let ordered =
+                self.share_orders.iter().rev().find(|(_, change)| {
+                    change.order.task == row.task && change.order.run == row.run
+                });
+            let percent = ordered.map_or(100, |(_, change)| u64::from(change.percent));
             row.load = row.load * percent / 100;
         }
         let filled = running.iter().filter(|row| !serves(row)).map(|row| row.load).sum();
@@ -396,10 +397,9 @@
     /// Returns the ended runs that the answer to a heartbeat lists: those it does not acknowledge
     /// yet.
     fn unacknowledged_ends(&self, heartbeat: &job::Heartbeat) -> Vec<job::Ended> {
-        let here = self
-            .ended_runs
-            .iter()
-            .filter(|(worker, ended)| *worker == heartbeat.worker && ended.number > heartbeat.seen);
+        let here = self.ended_runs.iter().filter(|(worker, ended)| {
+            *worker == heartbeat.worker && ended.number > heartbeat.acknowledged_end
+        });
         here.map(|(_, ended)| ended.clone()).collect()
     }
 
@@ -558,11 +558,11 @@
 }
 
 /// Returns the entry of a started task in a heartbeat answer, with the higher tail latency if it is
-/// a serving task and `harmed` is set.
-pub fn row(start: &job::Start, harmed: bool) -> job::Running {
+/// a serving task and `interferes` is set.
+pub fn row(start: &job::Start, interferes: bool) -> job::Running {
     let job = start.order.task.job.0;
     let serving = serves(job);
-    let tail = if harmed { HARMED_MS } else { QUIET_MS };
+    let tail = if interferes { DISTURBED_TAIL_MS } else { UNDISTURBED_TAIL_MS };
     let load = if serving { tail } else { 4_000 };
     job::Running { task: start.order.task, run: start.order.run, percent: 100, load }
 }
--- a/crates/wharflane/tests/slowness.rs
+++ b/crates/wharflane/tests/slowness.rs
@@ -1,8 +1,8 @@
 //! Detects a slow holder, which then gives its lease up to another host.
 //!
-//! Guards against this failure: callers were told that no job waited while jobs had waited for five
-//! seconds. The holder's host had become several times slower; its commits came one to two seconds
-//! apart, and events waited for seconds to be handled, for as long as the host stayed slow. It kept
+//! Guards against this failure: callers got a count of zero while jobs had waited for five seconds.
+//! The holder's host had become several times slower; its commits came one to two seconds apart,
+//! and events waited for seconds to be handled, for as long as the host stayed slow. It kept
 //! renewing its lease, so no other host took over.
 
 mod sim;
@@ -44,7 +44,8 @@
     sim.engine.step(sim.now, job::Event::Yield)
 }
 
-/// Returns an engine that has just taken a free lease and asks for the state, and the current time.
+/// Returns an engine that has just acquired a free lease and requested the state, and the current
+/// time.
 fn loading() -> (job::Engine, time::Duration) {
     let mut engine = job::Engine::new("host".into(), world::settings(), 1);
     let now = time::Duration::from_secs(1);
@@ -67,7 +68,7 @@
             };
             engine.step(now, job::Event::Txn { number, outcome: answer(number) });
         }
-        if engine.left() {
+        if engine.is_watching() {
             return passed_ms;
         }
     }
@@ -130,7 +131,7 @@
                 sim.engine.step(sim.now, job::Event::Txn { number, outcome });
             }
         }
-        assert!(sim.engine.left());
+        assert!(sim.engine.is_watching());
         let free = Some((50, job::Lease::default()));
         let taken = |effects: &[job::Effect]| effects.iter().any(|effect| matches!(effect, job::Effect::Txn(..)));
         let effects = sim.engine.step(sim.now, job::Event::LeaseRead(free.clone()));
--- a/crates/wharflane/tests/starvation.rs
+++ b/crates/wharflane/tests/starvation.rs
@@ -1,8 +1,7 @@
-//! No task that could run waits without bound while most of its service's room is free.
+//! No task that could run waits without bound while most of its service's capacity is free.
 //!
-//! The bound: a job counts as starved once it has run nothing for 3 s although the turn of one of
-//! its tasks has come, there is room for that task twice over, and less than half of the service is
-//! in use.
+//! The bound: a job counts as starving once it has run nothing for 3 s although one of its tasks is
+//! due, there is room for that task twice over, and less than half of the service is in use.
 
 mod sim;
 
@@ -89,8 +88,8 @@
 
 /// Returns the shares ordered for the tasks of a job, in percent and in order.
 fn shares(sim: &sim::Sim, job: u64) -> Vec<u8> {
-    let own = sim.paces.iter().filter(|(_, pace)| pace.order.task.job.0 == job);
-    own.map(|(_, pace)| pace.percent).collect()
+    let own = sim.share_orders.iter().filter(|(_, change)| change.order.task.job.0 == job);
+    own.map(|(_, change)| change.percent).collect()
 }
 
 /// Submits `jobs` jobs of one best-effort task each.
@@ -110,8 +109,9 @@
     // the workers' room was free. One way for this to come about: every worker runs a serving task,
     // and the learned interference of the task's image is more than any of them tolerates, so no
     // worker is eligible. Nothing corrects the learned value while the image does not run, and the
-    // next holder restores it from the store. This case restores such a value; without relief for
-    // starved tasks nothing starts. The learned values at the time of the failure were not logged.
+    // next holder restores it from the store. This case restores such a value; without the starts
+    // of starving tasks, nothing starts. The learned values at the time of the failure were not
+    // logged.
     a_task_whose_learned_interference_fits_no_worker_runs_within_the_bound => {
         let mut sim = serving_workers(4, 2.5);
         sim.submit(WAITING, "last", sim::step("filling", FILLING_MILLI));
@@ -145,7 +145,7 @@
         sim.advance(1_000, false);
         sim.tail_ms = Some(|_| 200);
         sim.advance(6_000, false);
-        assert_eq!(sim.paces.last().map(|(_, pace)| pace.percent), Some(0));
+        assert_eq!(sim.share_orders.last().map(|(_, change)| change.percent), Some(0));
         let job::Event::Jobs(mut rows) =
             sim.accepted(SERVING, "first", sim::step("serving", 4_000))
         else {
@@ -158,7 +158,7 @@
         sim.handle(job::Event::Jobs(rows));
         sim.end_task(task(SERVING, 0), job::EndKind::Stopped);
         sim.advance(BOUND_MS, false);
-        assert_eq!(sim.paces.last().map(|(_, pace)| pace.percent), Some(100));
+        assert_eq!(sim.share_orders.last().map(|(_, change)| change.percent), Some(100));
     },
     a_best_effort_task_larger_than_the_free_room_of_any_worker_runs_within_the_bound => {
         let mut sim = serving_workers(4, 0.0);
@@ -200,7 +200,7 @@
         sim.advance(500, false);
         assert_eq!(sim.starts(WAITING).len(), 1);
     },
-    room_reserved_for_a_larger_task_is_not_kept_from_a_small_one_for_ever => {
+    room_reserved_for_a_larger_task_is_not_withheld_from_a_small_one_for_ever => {
         let mut sim = sim::Sim::new(1, Vec::new());
         sim.submit(SERVING, "first", sim::step("serving", 7_000));
         sim.advance(500, false);
@@ -251,7 +251,7 @@
         sim.advance(BOUND_MS, false);
         assert_eq!(started(&sim, 1), 1);
     },
-    a_starved_task_starts_throttled_and_is_released_if_the_learned_value_was_wrong => {
+    a_starving_task_starts_throttled_and_is_released_if_the_learned_value_was_wrong => {
         let mut sim = serving_workers(4, 2.5);
         submit_best_effort(&mut sim, 1);
         sim.advance(BOUND_MS, false);
@@ -264,7 +264,7 @@
         sim.advance(500, false);
         assert_eq!(sim.starts(20).len(), 1, "the image is placed as any other");
     },
-    targets_are_kept_beside_starved_tasks_if_the_learned_value_is_right => {
+    targets_are_kept_beside_starving_tasks_if_the_learned_value_is_right => {
         let mut sim = serving_workers(4, STRONG_INTERFERENCE);
         sim.tail_ms = Some(disturbed_tail_ms);
         submit_best_effort(&mut sim, 4);
@@ -279,7 +279,7 @@
         sim.advance(60_000, false);
         assert!(longest_missed_target(&sim) < MAX_MISS, "the target was missed for {:?}", longest_missed_target(&sim));
     },
-    few_starved_tasks_are_started_at_once => {
+    few_starving_tasks_are_started_at_once => {
         let mut sim = serving_workers(16, STRONG_INTERFERENCE);
         sim.tail_ms = Some(disturbed_tail_ms);
         submit_best_effort(&mut sim, 20);
@@ -294,7 +294,7 @@
         sim.advance(2 * BOUND_MS, false);
         assert_eq!(sim.starts(WAITING).len(), 1);
     },
-    no_starved_task_is_started_while_half_of_the_service_is_in_use => {
+    no_starving_task_is_started_while_half_of_the_service_is_in_use => {
         let mut sim = serving_workers(4, 2.5);
         for job in 100..104 {
             sim.submit(job, "first", sim::step("plain", 4_000));
@@ -304,7 +304,7 @@
         sim.advance(2 * BOUND_MS, false);
         assert_eq!(started(&sim, 1), 0);
     },
-    no_starved_task_is_started_beside_a_target_missed_for_long => {
+    no_starving_task_is_started_beside_a_target_missed_for_long => {
         let mut sim = serving_workers(4, 2.5);
         sim.tail_ms = Some(|_| 80);
         sim.advance(3_000, false);
@@ -325,8 +325,8 @@
         }
         let order = sim.newest_order(task(WAITING, 0));
         sim.handle(job::Event::Started { order, answer: job::StartAnswer::Taken });
-        let paced = |effect: &job::Effect| matches!(effect, job::Effect::Pace(pace) if pace.percent < 100);
-        assert!(sim.pending.iter().any(paced));
+        let is_throttled = |effect: &job::Effect| matches!(effect, job::Effect::SetShare(change) if change.percent < 100);
+        assert!(sim.pending.iter().any(is_throttled));
     },
     the_share_of_an_unanswered_start_is_ordered_once_the_task_runs => {
         let mut sim = serving_workers(4, 3.0 * STRONG_INTERFERENCE);
--- a/crates/wharflane/tests/pace.rs
+++ b/crates/wharflane/tests/throttle.rs
@@ -46,7 +46,7 @@
 /// Returns the ordered shares, in percent and in order.
 fn shares(sim: &sim::Sim) -> Vec<u8> {
     let paces = sim.pending.iter().filter_map(|effect| match effect {
-        job::Effect::Pace(pace) => Some(pace.percent),
+        job::Effect::SetShare(change) => Some(change.percent),
         _ => None,
     });
     paces.collect()
--- a/crates/wharflane/tests/waiting.rs
+++ b/crates/wharflane/tests/waiting.rs
@@ -10,14 +10,14 @@
 
 cases! {
     a_job_whose_starts_are_never_answered_waits => starts_never_answered(),
-    a_job_whose_start_was_taken_does_not_wait => start_taken(),
+    a_job_whose_start_was_accepted_does_not_wait => start_accepted(),
     a_job_whose_start_was_refused_waits => starts_refused(),
     a_job_whose_recorded_start_was_not_carried_out_waits_after_a_takeover => recorded_start_not_carried_out(),
     a_running_job_does_not_wait_after_a_takeover => inherited_and_running(),
     a_job_with_a_completed_task_does_not_wait_after_a_takeover => inherited_and_done(),
     a_job_whose_recorded_worker_is_not_listed_waits_after_a_bound => worker_not_listed(),
     counts_are_no_newer_than_the_last_report_of_the_feed => silent_feed(),
-    a_holder_that_never_heard_from_the_feed_publishes_no_counts => feed_never_heard(),
+    a_holder_without_an_event_of_the_feed_publishes_no_counts => feed_without_events(),
     counts_are_renewed_while_nothing_changes => renewed(),
     the_age_of_counts_is_known_only_from_their_time_stamp => age_by_time_stamp(),
     counts_are_published_while_the_store_refuses_a_job => refused_job(),
@@ -26,7 +26,7 @@
 
 /// More answers than any case uses up.
 const MANY_ANSWERS: usize = 1_000;
-/// Longer than a holder takes until it publishes its first counts, in milliseconds.
+/// Longer than a holder needs to publish its first counts, in milliseconds.
 const SETTLED_MS: u64 = 2_000;
 
 /// Returns the published number of waiting jobs of the first queue.
@@ -52,8 +52,8 @@
     assert_eq!(waiting(&sim), 1);
 }
 
-/// Checks that a job no longer waits once a start of it was taken.
-fn start_taken() {
+/// Checks that a job no longer waits once a start of it was accepted.
+fn start_accepted() {
     let sim = all_starts_answered(job::StartAnswer::Taken);
     assert_eq!(waiting(&sim), 0);
 }
@@ -127,8 +127,8 @@
     assert!(as_of_ms <= up_to_ms, "{as_of_ms} after {up_to_ms}");
 }
 
-/// Checks that a holder which never heard from the feed publishes no counts.
-fn feed_never_heard() {
+/// Checks that a holder that never got an event of the feed publishes no counts.
+fn feed_without_events() {
     let mut sim = sim::Sim::new(1, Vec::new());
     sim.feed_reports = false;
     sim.advance(5_000, false);
@@ -145,7 +145,7 @@
         let age = sim.waiting().and_then(|counts| counts.age(millis(&sim)));
         oldest = oldest.max(age.expect("an age"));
     }
-    // The time between two commits without news, plus one tick.
+    // The time between two commits without changes, plus one tick.
     assert!(oldest <= time::Duration::from_millis(740), "{oldest:?}");
 }
 
