--- a/crates/daemon/src/host.rs
+++ b/crates/daemon/src/host.rs
@@ -295,7 +295,7 @@
         };
         let Ok(apply) = serde_json::from_slice::<operator::Apply>(&body) else {
             let status = StatusCode::BAD_REQUEST;
-            return reply::problem(status, "bad-request", "the body is not a valid submission");
+            return reply::problem(status, "bad-request", "the body is no submission");
         };
         let applied = config::apply(&self.shared, &apply).await;
         if let operator::Applied::Accepted { revision } = &applied {
--- a/crates/daemon/src/jobs/halls.rs
+++ b/crates/daemon/src/jobs/halls.rs
@@ -78,7 +78,7 @@
 /// removed.
 pub async fn set_closed(shared: &Shared, hall: &str, closes: bool) -> reply::Reply {
     if hall.is_empty() {
-        return reply::problem(StatusCode::BAD_REQUEST, "no-hall", "the path names no hall");
+        return reply::problem(StatusCode::BAD_REQUEST, "no-hall", "no hall is named");
     }
     let key = halls::key(&hall.into());
     for _ in 0..MAX_ATTEMPTS {
@@ -97,7 +97,7 @@
     reply::problem(
         StatusCode::SERVICE_UNAVAILABLE,
         "store",
-        "the store did not answer: the outcome is unknown",
+        "the store gave no answer: nothing is known",
     )
 }
 
--- a/crates/wharflane/src/job/spec.rs
+++ b/crates/wharflane/src/job/spec.rs
@@ -164,7 +164,7 @@
         bytes: usize,
     },
     /// The job is too long for a row of the store.
-    #[error("the job is {bytes} bytes long in stored form, more than {most}")]
+    #[error("the job takes {bytes} bytes to keep, more than {most}")]
     TooLong {
         /// Its length in stored form.
         bytes: usize,
@@ -172,7 +172,7 @@
         most: usize,
     },
     /// The store will never accept the job's row, for a reason of its own.
-    #[error("the store does not accept the job's row")]
+    #[error("the store does not take the job's row")]
     NotKept,
     /// The job has no steps.
     #[error("a job needs at least one step")]
--- a/crates/wharflane/src/toml_read.rs
+++ b/crates/wharflane/src/toml_read.rs
@@ -227,7 +227,7 @@
         if let de::DeValue::String(text) = value {
             return Some((at, text.into_owned()));
         }
-        self.wrong_type(at, key, "a string");
+        self.wrong_type(at, key, "a text");
         None
     }
 
@@ -349,7 +349,7 @@
             return Vec::new();
         };
         let de::DeValue::Array(items) = value else {
-            self.wrong_type(at, key, "a list of strings");
+            self.wrong_type(at, key, "a list of texts");
             return Vec::new();
         };
         let mut texts = Vec::new();
@@ -357,7 +357,7 @@
             let at = item.span().start;
             match item.into_inner() {
                 de::DeValue::String(text) => texts.push((at, text.into_owned())),
-                _ => self.wrong_type(at, key, "a list of strings"),
+                _ => self.wrong_type(at, key, "a list of texts"),
             }
         }
         texts
